--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/EntryService.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/EntryService.kt
@@ -30,7 +30,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** One place at which a read may be served, with the longest time to wait there for fresh data. */
-internal data class ReadTarget(val member: MemberName, val catchUp: Duration)
+internal data class ReadTarget(val member: MemberName, val catchUpTimeout: Duration)
 
 /** Orders the members at which a read may be served, best first; the list may be empty. */
 internal typealias PlanRead = (database: DatabaseConfiguration, request: RelayRequest) -> List<ReadTarget>
@@ -70,7 +70,7 @@
             val term = groups.group(database.name).term
             planRead(database, request.toRelayRequest(database.members.first())).forEach { target ->
                 val member = database.members.first { it.name == target.member }
-                val relayed = request.toRelayRequest(member).copy(catchUp = target.catchUp)
+                val relayed = request.toRelayRequest(member).copy(catchUpTimeout = target.catchUpTimeout)
                 val result = relay.send(member, relayed, request.deadline)
                 note(database, member, result)
                 last = result.fold({ it }, { return served(member, it) })
@@ -148,12 +148,12 @@
         needs = ReadNeeds(
             required = token.pointOf(database),
             maximumAge = maximumAge(),
-            standing = database in token.unresolved,
+            requiresConfirmedPrimary = database in token.unresolved,
         ),
         work = work,
         key = key,
         remaining = deadline - clock.elapsed(),
-        catchUp = Duration.ZERO,
+        catchUpTimeout = Duration.ZERO,
     )
 
     private fun CallerRequest.maximumAge(): Duration? {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlan.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlan.kt
@@ -54,7 +54,7 @@
             sessionPoint = request.needs.required,
             target = request.kind.targetMillis.milliseconds,
             deadline = now + request.remaining,
-            unresolved = request.needs.standing,
+            unresolved = request.needs.requiresConfirmedPrimary,
         )
         return when (val route = synchronized(router) { router.route(needs, facts, now) }) {
             is Route.Serve -> route.steps.map { it.toTarget(request, now) }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/WorkMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/WorkMessages.kt
@@ -50,10 +50,10 @@
         .setDatabase(database.value)
         .setMember(member.value)
         .setRequired(needs.required.toMessage())
-        .setStanding(needs.standing)
+        .setStanding(needs.requiresConfirmedPrimary)
         .setIdempotencyKey(key?.value.orEmpty())
         .setRemainingMicros(remaining.inWholeMicroseconds)
-        .setCatchUpMicros(catchUp.inWholeMicroseconds)
+        .setCatchUpMicros(catchUpTimeout.inWholeMicroseconds)
     needs.maximumAge?.let { builder.setMaximumAgeMicros(it.inWholeMicroseconds) }
     return builder.setWork(work).build()
 }
@@ -81,12 +81,12 @@
     needs = ReadNeeds(
         required = required.toHistoryPoint(),
         maximumAge = if (hasMaximumAgeMicros()) maximumAgeMicros.microseconds else null,
-        standing = standing,
+        requiresConfirmedPrimary = standing,
     ),
     work = toWork(self),
     key = idempotencyKey.ifEmpty { null }?.let { IdempotencyKey(it) },
     remaining = remainingMicros.microseconds,
-    catchUp = catchUpMicros.microseconds,
+    catchUpTimeout = catchUpMicros.microseconds,
 )
 
 private fun WorkRequest.toWork(self: VmName): Work = when (workCase) {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
@@ -16,19 +16,24 @@
 import kotlin.time.Duration
 
 /**
- * How fresh the data of a read must be.
+ * Freshness requirements of a read.
  *
  * @property required point that the answer must cover.
- * @property maximumAge age that the data may have when the answer leaves the member's gateway, or null.
- * @property standing whether a primary must answer in whose term a majority stood after the request had arrived.
+ * @property maximumAge age that the data may have when the answer leaves the member's gateway, or null for no limit.
+ * @property requiresConfirmedPrimary whether the read must run at a primary that a majority is seen to follow after
+ * the request has arrived, in the term that the majority has accepted.
  */
-public data class ReadNeeds(val required: HistoryPoint, val maximumAge: Duration?, val standing: Boolean)
+public data class ReadNeeds(
+    val required: HistoryPoint,
+    val maximumAge: Duration?,
+    val requiresConfirmedPrimary: Boolean,
+)
 
 /**
  * Work on its way to the gateway of [member].
  *
  * @property remaining time left until the caller's deadline.
- * @property catchUp longest time to wait for the member to become fresh enough.
+ * @property catchUpTimeout longest time to wait for the member to become fresh enough.
  */
 public data class RelayRequest(
     val id: RequestId,
@@ -40,7 +45,7 @@
     val work: Work,
     val key: IdempotencyKey?,
     val remaining: Duration,
-    val catchUp: Duration,
+    val catchUpTimeout: Duration,
 )
 
 /**
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionExecution.kt
@@ -47,7 +47,7 @@
     fun begin(host: MemberHost, request: RelayRequest, deadline: Duration): Either<Failure, RelayAnswer> = either {
         val term = writes.primaryTerm(host).bind()
         ensure(term >= request.needs.required.term) { request.behind(term) }
-        if (request.needs.standing) awaitStanding(host, term, deadline)
+        if (request.needs.requiresConfirmedPrimary) awaitStanding(host, term, deadline)
         if (request.kind.repetition == Repetition.AT_MOST_ONCE) ensureRecordTable(host, request, term, deadline)
         val connection = host.gateway.pin(request.toWorkItem(deadline)).mapLeft { it.toFailure(Effect.NOT_RUN) }.bind()
         val number = table.nextNumber()
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/CatchUp.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/CatchUpMonitor.kt
@@ -14,7 +14,7 @@
  * Waits for a member to reach a point. Of all threads that wait, one at a time asks the member for its report; the
  * others learn from it. Lock order: this lock is never held during a call or while another lock is taken.
  */
-internal class CatchUp(private val port: MemberPort, private val group: GroupRunner, private val clock: Clock) {
+internal class CatchUpMonitor(private val port: MemberPort, private val group: GroupRunner, private val clock: Clock) {
     private val lock = ReentrantLock()
     private val advanced = lock.newCondition()
     private var highest = HistoryPoint.START
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/MemberHost.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/MemberHost.kt
@@ -34,7 +34,7 @@
     @Volatile
     internal var recordTableTerm: Term? = null
 
-    internal val catchUp = CatchUp(port, group, clock)
+    internal val catchUpMonitor = CatchUpMonitor(port, group, clock)
 
     /** Name of the member. */
     public val name: MemberName get() = member.name
@@ -49,12 +49,12 @@
         return MemberStatus(
             term = view.term,
             primary = view.primary,
-            point = maxOf(catchUp.known, view.pointOf(name)),
+            point = maxOf(catchUpMonitor.known, view.pointOf(name)),
             wait = load.queue.wait,
             service = load.queue.serviceTime,
             inFlight = load.queue.inFlight,
             queued = load.queue.queued.values.sum(),
-            lag = catchUp.lag,
+            lag = catchUpMonitor.lag,
             reachable = true,
         )
     }
@@ -75,6 +75,6 @@
 
     private fun learn(sentAt: Duration, reply: BatchReply) {
         group.observeReply(name, sentAt, reply)
-        catchUp.observe(reply.point)
+        catchUpMonitor.observe(reply.point)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/ReadExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/ReadExecution.kt
@@ -30,7 +30,7 @@
  */
 internal class ReadExecution(private val clock: Clock) {
     fun execute(host: MemberHost, request: RelayRequest, statements: List<Statement>, deadline: Duration) = when {
-        request.needs.standing -> executeStanding(host, request, statements, deadline)
+        request.needs.requiresConfirmedPrimary -> executeStanding(host, request, statements, deadline)
         else -> executeFresh(host, request, statements, deadline)
     }
 
@@ -55,9 +55,9 @@
         statements: List<Statement>,
         deadline: Duration,
     ): Either<Failure, RelayAnswer> {
-        val catchUpUntil = minOf(deadline, clock.elapsed() + request.catchUp)
+        val catchUpUntil = minOf(deadline, clock.elapsed() + request.catchUpTimeout)
         while (true) {
-            if (!host.catchUp.await(request.needs.required, catchUpUntil)) {
+            if (!host.catchUpMonitor.await(request.needs.required, catchUpUntil)) {
                 return notFresh(host, "member ${host.name} has not reached point ${request.needs.required}").left()
             }
             val since = clock.elapsed()
@@ -101,7 +101,7 @@
     ): Either<Failure, BatchReply> {
         val first = host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, term), request.patience)
         val newerTerm = first.leftOrNull()?.newerTerm()
-        val last = if (newerTerm == null || request.needs.standing) {
+        val last = if (newerTerm == null || request.needs.requiresConfirmedPrimary) {
             first
         } else {
             host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, newerTerm), request.patience)
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
@@ -119,11 +119,11 @@
             ),
             database = DatabaseName("inventory"),
             member = MemberName("inventory-a"),
-            needs = ReadNeeds(HistoryPoint.START, maximumAge = null, standing = false),
+            needs = ReadNeeds(HistoryPoint.START, maximumAge = null, requiresConfirmedPrimary = false),
             work = Work.Write(emptyList()),
             key = null,
             remaining = 30.seconds,
-            catchUp = Duration.ZERO,
+            catchUpTimeout = Duration.ZERO,
         )
     }
 }
