--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/distribution/ConfigurationRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/distribution/ConfigurationUpdater.kt
@@ -18,14 +18,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Called after a configuration has come into force. */
+/** Called after a new configuration is in force. */
 internal typealias ConfigurationListener = (FleetConfiguration) -> Unit
 
 /**
- * Brings accepted configurations into force on this node: from the platform by a waiting watch, and from peers, which
- * pass on the number in force with every probe. Either suffices; a lower number is never taken.
+ * Keeps the configuration of this node up to date. New configurations come from the platform by a long-polling watch
+ * and from peers, which send their configuration number with every probe. Either source suffices; a configuration with
+ * a lower number is never accepted.
  */
-internal class ConfigurationRunner(
+internal class ConfigurationUpdater(
     private val holder: ConfigurationHolder,
     private val store: ObjectStore,
     private val peers: PeerPort,
@@ -39,42 +40,42 @@
     /** Number of the configuration in force. */
     val number: Long get() = holder.current.number
 
-    /** Reads the configuration from the platform once; tells whether the platform answered. */
-    fun readFromStore(): Boolean = take(store.read(FleetConfiguration.STORE_KEY))
+    /** Reads the configuration from the platform once; returns whether the platform answered. */
+    fun readFromStore(): Boolean = handleStoreReply(store.read(FleetConfiguration.STORE_KEY))
 
-    /** Waits at most [WATCH_TIMEOUT] for a newer configuration in the platform; tells whether the platform answered. */
-    fun watchStore(): Boolean = take(store.watch(FleetConfiguration.STORE_KEY, knownVersion, WATCH_TIMEOUT))
+    /** Waits at most [WATCH_TIMEOUT] for a newer version at the platform; returns whether the platform answered. */
+    fun watchStore(): Boolean = handleStoreReply(store.watch(FleetConfiguration.STORE_KEY, knownVersion, WATCH_TIMEOUT))
 
-    /** Fetches the configuration of [peer] if its number is higher. */
+    /** Fetches the configuration of [peer] if its number is higher; does nothing while another fetch is running. */
     fun fetchFrom(peer: VmRecord) {
         if (!fetching.compareAndSet(false, true)) return
         try {
-            peers.configuration(peer, number, FETCH_TIMEOUT).onRight { known ->
-                known.configuration?.let { offer(it, peer.name.value) }
+            peers.configuration(peer, number, FETCH_TIMEOUT).onRight { peerConfiguration ->
+                peerConfiguration.configuration?.let { offer(it, peer.name.value) }
             }
         } finally {
             fetching.set(false)
         }
     }
 
-    private fun take(answer: Either<StoreFailure, StoredObject?>): Boolean = answer.fold(
+    private fun handleStoreReply(answer: Either<StoreFailure, StoredObject?>): Boolean = answer.fold(
         { failure ->
             if (storeAvailable.getAndSet(false)) events.log(Event.STORE_UNAVAILABLE, "detail" to failure.toString())
             false
         },
         { found ->
             if (!storeAvailable.getAndSet(true)) events.log(Event.STORE_AVAILABLE)
-            found?.let(::takeObject)
+            found?.let(::handleStoredObject)
             true
         },
     )
 
-    private fun takeObject(found: StoredObject) {
+    private fun handleStoredObject(found: StoredObject) {
         knownVersion = found.version
         try {
             offer(Json.decodeFromString(FleetConfiguration.serializer(), found.value), "platform")
-        } catch (broken: SerializationException) {
-            events.log(Event.CONFIGURATION_REFUSED, "version" to found.version.value, cause = broken)
+        } catch (invalid: SerializationException) {
+            events.log(Event.CONFIGURATION_REFUSED, "version" to found.version.value, cause = invalid)
         }
     }
 
@@ -85,7 +86,7 @@
     }
 
     companion object {
-        /** Longest time for which a watch waits at the platform. */
+        /** Longest time for which the platform holds a watch request open. */
         val WATCH_TIMEOUT: Duration = 25.seconds
 
         /** Pause after a failed call to the platform. */
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/EntryService.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/EntryService.kt
@@ -29,25 +29,26 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** One place at which a read may be served, with the longest time to wait there for fresh data. */
+/** A member that may serve a read, with the longest time to wait there until its data is fresh enough. */
 internal data class ReadTarget(val member: MemberName, val catchUpTimeout: Duration)
 
-/** Orders the members at which a read may be served, best first; the list may be empty. */
+/** Returns the members that may serve a read, best first; the list may be empty. */
 internal typealias PlanRead = (database: DatabaseConfiguration, request: RelayRequest) -> List<ReadTarget>
 
-/** Returns the record of a VM, or null where it is not known. */
+/** Returns the record of a VM, or null for an unknown VM. */
 internal typealias FindVm = (VmName) -> VmRecord?
 
 /**
- * Serves callers' requests: finds the member and the VM to send each to, sends it again where that does no harm, and
- * keeps the session's token. A retry needs a proof that nothing ran or work that may run twice, time, and budget.
+ * Serves callers' requests: routes each to a member and a VM, retries it where a repetition is safe, and advances the
+ * session token. A retry requires that the failed attempt provably did not run or that the work may run twice, and
+ * that deadline and retry budget allow another attempt.
  */
 internal class EntryService(
     private val configuration: () -> FleetConfiguration,
     private val relay: Relay,
     private val planRead: PlanRead,
     private val findVm: FindVm,
-    private val groups: GroupTable,
+    private val groups: GroupCache,
     private val retries: RetryPolicy,
     private val clock: Clock,
 ) {
@@ -55,88 +56,94 @@
     fun handle(request: CallerRequest): Either<RequestFailure, CallerReply> {
         val database = configuration().database(request.database) ?: return request.unknownDatabase().left()
         val result = when (val work = request.work) {
-            is Work.Read -> read(database, request)
-            is Work.Write, Work.Begin, Work.Resolve -> atPrimary(database, request)
-            is Work.Run -> inTransaction(database, request, work.transaction)
-            is Work.Commit -> inTransaction(database, request, work.transaction)
-            is Work.Rollback -> inTransaction(database, request, work.transaction)
+            is Work.Read -> executeRead(database, request)
+            is Work.Write, Work.Begin, Work.Resolve -> executeAtPrimary(database, request)
+            is Work.Run -> executeInTransaction(database, request, work.transaction)
+            is Work.Commit -> executeInTransaction(database, request, work.transaction)
+            is Work.Rollback -> executeInTransaction(database, request, work.transaction)
         }
-        return result.fold({ request.failed(it).left() }, { request.completed(it).right() })
+        return result.fold({ request.toRequestFailure(it).left() }, { request.toReply(it).right() })
     }
 
-    private fun read(database: DatabaseConfiguration, request: CallerRequest): Either<Failure, Served> {
+    private fun executeRead(database: DatabaseConfiguration, request: CallerRequest): Either<Failure, ServedAnswer> {
         var last = request.noMember()
         while (true) {
             val term = groups.group(database.name).term
             planRead(database, request.toRelayRequest(database.members.first())).forEach { target ->
                 val member = database.members.first { it.name == target.member }
-                val relayed = request.toRelayRequest(member).copy(catchUpTimeout = target.catchUpTimeout)
-                val result = relay.send(member, relayed, request.deadline)
-                note(database, member, result)
+                val relayRequest = request.toRelayRequest(member).copy(catchUpTimeout = target.catchUpTimeout)
+                val result = relay.send(member, relayRequest, request.deadline)
+                recordMemberResult(database, member, result)
                 last = result.fold({ it }, { return served(member, it) })
-                if (!last.mayTryElsewhere) return last.left()
+                if (!last.isRetryable) return last.left()
             }
             if (!retries.awaitRetry(database.name, term, request)) return last.left()
         }
     }
 
-    private fun atPrimary(database: DatabaseConfiguration, request: CallerRequest): Either<Failure, Served> {
+    private fun executeAtPrimary(
+        database: DatabaseConfiguration,
+        request: CallerRequest,
+    ): Either<Failure, ServedAnswer> {
         var outcomeKnown = true
         while (true) {
-            val known = groups.group(database.name)
-            val member = database.members.firstOrNull { it.name == known.primary } ?: database.members.first()
-            val relayed = request.toRelayRequest(member)
-            val result = relay.send(member, relayed, request.deadline)
+            val cached = groups.group(database.name)
+            val member = database.members.firstOrNull { it.name == cached.primary } ?: database.members.first()
+            val relayRequest = request.toRelayRequest(member)
+            val result = relay.send(member, relayRequest, request.deadline)
             val failure = result.fold({ it }, { return served(member, it) })
             if (failure.effect == Effect.UNKNOWN) outcomeKnown = false
             val final = if (outcomeKnown) failure else failure.copy(effect = Effect.UNKNOWN)
-            if (!failure.mayTryElsewhere || !(failure.effect == Effect.NOT_RUN || relayed.isRepeatable)) {
+            if (!failure.isRetryable || !(failure.effect == Effect.NOT_RUN || relayRequest.isRepeatable)) {
                 return final.left()
             }
-            if (learnedPrimary(database, member)) continue
-            if (!retries.awaitRetry(database.name, known.term, request)) return final.left()
+            if (primaryHasChanged(database, member)) continue
+            if (!retries.awaitRetry(database.name, cached.term, request)) return final.left()
         }
     }
 
-    private fun inTransaction(
+    private fun executeInTransaction(
         database: DatabaseConfiguration,
         request: CallerRequest,
         handle: TransactionHandle,
-    ): Either<Failure, Served> {
+    ): Either<Failure, ServedAnswer> {
         val primary = groups.group(database.name).primary
         val member = database.members.firstOrNull { it.name == primary } ?: database.members.first()
         val vm = findVm(handle.vm)
         if (vm == null && request.work is Work.Commit && request.key != null) {
-            return atPrimary(database, request.copy(work = Work.Resolve))
+            return executeAtPrimary(database, request.copy(work = Work.Resolve))
         }
         val result = if (vm == null) {
-            request.holderGone(handle).left()
+            request.transactionHolderGone(handle).left()
         } else {
             relay.sendTo(vm, request.toRelayRequest(member), request.deadline)
         }
-        return result.mapLeft { request.afterEarlierCommit(it) }.flatMap { served(member, it) }
+        return result.mapLeft { request.withEarlierCommitEffect(it) }.flatMap { served(member, it) }
     }
 
-    /** A VM that was not reached proves nothing about a commit that the session has sent before. */
-    private fun CallerRequest.afterEarlierCommit(failure: Failure): Failure {
+    /**
+     * Reports an unknown effect where the session has sent a commit before: that this VM was not reached doesn't prove
+     * that the earlier commit did not run.
+     */
+    private fun CallerRequest.withEarlierCommitEffect(failure: Failure): Failure {
         val sentBefore = work is Work.Commit && database in token.unresolved
         val unproved = sentBefore && failure.step in setOf(Step.ROUTE, Step.RELAY)
         return if (unproved) failure.copy(effect = Effect.UNKNOWN) else failure
     }
 
-    /** Whether the last answer named another primary than [asked], so that no pause is needed. */
-    private fun learnedPrimary(database: DatabaseConfiguration, asked: MemberConfiguration): Boolean {
+    /** Whether another primary than [queried] is known by now, so that the retry needs no pause. */
+    private fun primaryHasChanged(database: DatabaseConfiguration, queried: MemberConfiguration): Boolean {
         val primary = groups.group(database.name).primary
-        return primary != null && primary != asked.name
+        return primary != null && primary != queried.name
     }
 
-    private fun note(
+    private fun recordMemberResult(
         database: DatabaseConfiguration,
         member: MemberConfiguration,
-        result: Either<Failure, Relayed>,
+        result: Either<Failure, RelayedAnswer>,
     ) = result.fold(
-        { if (it.reason in memberFailures) groups.failed(database.name, member.name) },
-        { groups.succeeded(database.name, member.name) },
+        { if (it.reason in memberFailureReasons) groups.recordFailure(database.name, member.name) },
+        { groups.recordSuccess(database.name, member.name) },
     )
 
     private fun CallerRequest.toRelayRequest(member: MemberConfiguration) = RelayRequest(
@@ -157,17 +164,17 @@
     )
 
     private fun CallerRequest.maximumAge(): Duration? {
-        val asked = (work as? Work.Read)?.maximumAge
+        val requestedAge = (work as? Work.Read)?.maximumAge
         val configured = kind.maximumAgeMillis?.milliseconds
-        return listOfNotNull(asked, configured).minOrNull()
+        return listOfNotNull(requestedAge, configured).minOrNull()
     }
 
-    private fun CallerRequest.completed(served: Served): CallerReply {
+    private fun CallerRequest.toReply(served: ServedAnswer): CallerReply {
         val answer = served.answer
         val advanced = token.advancedTo(database, answer.point)
         return CallerReply(
             results = answer.results,
-            token = if (work.settlesSession) advanced.withResolved(database) else advanced,
+            token = if (work.resolvesEarlierWrites) advanced.withResolved(database) else advanced,
             servedBy = served.member.name,
             role = answer.role,
             repeated = answer.repeated,
@@ -175,23 +182,23 @@
         )
     }
 
-    private fun CallerRequest.failed(failure: Failure): RequestFailure {
+    private fun CallerRequest.toRequestFailure(failure: Failure): RequestFailure {
         val changes = work is Work.Write || work is Work.Commit
-        val next: SessionToken = if (changes &&
+        val nextToken: SessionToken = if (changes &&
             failure.effect == Effect.UNKNOWN
         ) {
             token.withUnresolved(database)
         } else {
             token
         }
-        return RequestFailure(failure, next)
+        return RequestFailure(failure, nextToken)
     }
 
-    /** Whether the completed work makes the outcome of the session's earlier writes known. */
-    private val Work.settlesSession: Boolean
+    /** Whether completing this work determines the outcome of the session's earlier writes. */
+    private val Work.resolvesEarlierWrites: Boolean
         get() = this is Work.Write || this is Work.Commit || this is Work.Resolve
 
-    private val Failure.mayTryElsewhere: Boolean get() = reason in retriedReasons
+    private val Failure.isRetryable: Boolean get() = reason in retryableReasons
 
     private fun CallerRequest.unknownDatabase() =
         RequestFailure(routeFailure(FailureReason.INVALID_REQUEST, "database $database is not configured"), token)
@@ -199,7 +206,7 @@
     private fun CallerRequest.noMember() =
         routeFailure(FailureReason.NOT_FRESH_ENOUGH, "no member of $database is known to be fresh enough")
 
-    private fun CallerRequest.holderGone(handle: TransactionHandle) = routeFailure(
+    private fun CallerRequest.transactionHolderGone(handle: TransactionHandle) = routeFailure(
         FailureReason.TRANSACTION_ENDED,
         "VM ${handle.vm}, which held the transaction, is gone; the transaction was rolled back",
     )
@@ -207,17 +214,17 @@
     private fun routeFailure(reason: FailureReason, detail: String) =
         Failure(reason, Effect.NOT_RUN, Step.ROUTE, Peer.Local, detail)
 
-    private fun served(member: MemberConfiguration, relayed: Relayed): Either<Failure, Served> {
+    private fun served(member: MemberConfiguration, relayed: RelayedAnswer): Either<Failure, ServedAnswer> {
         retries.recordSuccess()
-        return Served(member, relayed.vm, relayed.answer).right()
+        return ServedAnswer(member, relayed.vm, relayed.answer).right()
     }
 
-    private class Served(val member: MemberConfiguration, val vm: VmName, val answer: RelayAnswer)
+    private class ServedAnswer(val member: MemberConfiguration, val vm: VmName, val answer: RelayAnswer)
 
     private companion object {
-        val memberFailures = setOf(FailureReason.CONNECTION_REFUSED, FailureReason.CONNECTION_LOST)
+        val memberFailureReasons = setOf(FailureReason.CONNECTION_REFUSED, FailureReason.CONNECTION_LOST)
 
-        val retriedReasons = memberFailures + setOf(
+        val retryableReasons = memberFailureReasons + setOf(
             FailureReason.NO_PRIMARY,
             FailureReason.NOT_FRESH_ENOUGH,
             FailureReason.SUPERSEDED,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/Relay.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/Relay.kt
@@ -21,54 +21,54 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Returns the VMs that may serve a member, the gateway first. */
+/** Returns the VMs that may serve a member: its gateway, then the fallback gateways. */
 internal typealias GatewayOrder = (MemberConfiguration) -> List<VmRecord>
 
-/** Serves a request at this VM itself. */
+/** Serves a request on this VM without a call to a peer. */
 internal typealias ServeLocally = (RelayRequest) -> RelayReply
 
-/** An [answer] and the VM that gave it. */
-internal class Relayed(val vm: VmName, val answer: RelayAnswer)
+/** An [answer] of a member and the VM through which it was obtained. */
+internal class RelayedAnswer(val vm: VmName, val answer: RelayAnswer)
 
 /**
- * Carries a request to the VM that holds the connections of its member: to this one, to the gateway, or, where that
- * is unreachable or leaving, to a deputy.
+ * Sends a request to a VM that holds connections to its member: this VM, the gateway of the member, or a fallback
+ * gateway if the gateway is unreachable or shutting down.
  */
 internal class Relay(
     private val self: VmName,
-    private val order: GatewayOrder,
+    private val gatewayOrder: GatewayOrder,
     private val serveLocally: ServeLocally,
     private val peers: PeerPort,
-    private val groups: GroupTable,
+    private val groups: GroupCache,
     private val clock: Clock,
-    private val onUnreachable: (VmName) -> Unit,
+    private val onVmUnreachable: (VmName) -> Unit,
 ) {
-    /** Sends [request] to the gateway of [member] or to a deputy and returns what came of it. */
-    fun send(member: MemberConfiguration, request: RelayRequest, deadline: Duration): Either<Failure, Relayed> {
-        var last = noVm(request)
-        order(member).forEach { vm ->
-            if (deadline <= clock.elapsed()) return deadlinePassed(request).after(last).left()
+    /** Sends [request] to the gateway of [member], then to the fallback gateways as long as a repetition is safe. */
+    fun send(member: MemberConfiguration, request: RelayRequest, deadline: Duration): Either<Failure, RelayedAnswer> {
+        var last = noVmAvailable(request)
+        gatewayOrder(member).forEach { vm ->
+            if (deadline <= clock.elapsed()) return deadlinePassed(request).withEffectOf(last).left()
             val result = sendTo(vm, request, deadline)
             val failure = result.leftOrNull() ?: return result
-            last = failure.after(last)
-            val mayTryNext = failure.isAboutVm && (failure.effect == Effect.NOT_RUN || request.isRepeatable)
+            last = failure.withEffectOf(last)
+            val mayTryNext = failure.isVmFailure && (failure.effect == Effect.NOT_RUN || request.isRepeatable)
             if (!mayTryNext) return last.left()
         }
         return last.left()
     }
 
-    /** Sends [request] to [vm] alone. */
-    fun sendTo(vm: VmRecord, request: RelayRequest, deadline: Duration): Either<Failure, Relayed> {
-        val timed = request.copy(remaining = deadline - clock.elapsed())
-        val reply = if (vm.name == self) serveLocally(timed).right() else peers.execute(vm, timed)
+    /** Sends [request] to [vm] only. */
+    fun sendTo(vm: VmRecord, request: RelayRequest, deadline: Duration): Either<Failure, RelayedAnswer> {
+        val timedRequest = request.copy(remaining = deadline - clock.elapsed())
+        val reply = if (vm.name == self) serveLocally(timedRequest).right() else peers.execute(vm, timedRequest)
         return reply.fold(
             { failure ->
-                if (failure is PeerFailure.NotSent) onUnreachable(vm.name)
+                if (failure is PeerFailure.NotSent) onVmUnreachable(vm.name)
                 failure.toFailure().left()
             },
             {
-                groups.learn(request.database, request.member, it.status)
-                it.result.map { answer -> Relayed(vm.name, answer) }
+                groups.recordStatus(request.database, request.member, it.status)
+                it.result.map { answer -> RelayedAnswer(vm.name, answer) }
             },
         )
     }
@@ -82,14 +82,14 @@
         retryAfter = RETRY_AFTER,
     )
 
-    /** A request that may have run at an [earlier] VM stays unknown, whatever a later one says. */
-    private fun Failure.after(earlier: Failure): Failure =
+    /** Keeps the unknown effect of an [earlier] attempt: the request may have run, whatever a later VM answers. */
+    private fun Failure.withEffectOf(earlier: Failure): Failure =
         if (earlier.effect == Effect.UNKNOWN) copy(effect = Effect.UNKNOWN) else this
 
-    private val Failure.isAboutVm: Boolean
+    private val Failure.isVmFailure: Boolean
         get() = reason == FailureReason.VM_UNREACHABLE || reason == FailureReason.SHUTTING_DOWN
 
-    private fun noVm(request: RelayRequest) = Failure(
+    private fun noVmAvailable(request: RelayRequest) = Failure(
         reason = FailureReason.VM_UNREACHABLE,
         effect = Effect.NOT_RUN,
         step = Step.RELAY,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/RetryPolicy.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/RetryPolicy.kt
@@ -12,40 +12,40 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Decides when a request is sent again. A new primary is a reason of its own: each request goes to it once without
- * drawing on the budget, since it never loaded that primary before. All other retries draw on the [budget]; while it
- * is empty a request waits for a new primary, but not longer than a failover should take.
+ * Decides when a failed request is retried. After a change of primary a request is retried once without spending the
+ * budget, because it has put no load on the new primary yet. All other retries spend the [budget]; while it is
+ * exhausted, a request waits for a new primary, but no longer than a failover should take.
  */
 internal class RetryPolicy(
-    private val groups: GroupTable,
+    private val groups: GroupCache,
     private val budget: RetryBudget,
     private val clock: Clock,
 ) {
     private val lock = ReentrantLock()
 
-    /** Notes that a request succeeded. */
+    /** Credits the retry budget for a successful request. */
     fun recordSuccess() = lock.withLock { budget.recordSuccess() }
 
-    /** Waits until [request], which failed in [term], may be sent again; false where it is to be given up. */
+    /** Blocks until [request], which failed in [term], may be retried; returns false if it must not be retried. */
     fun awaitRetry(database: DatabaseName, term: Term, request: CallerRequest): Boolean {
-        val giveUpAt = minOf(clock.elapsed() + FAILOVER_WAIT, request.deadline - MINIMUM_TIME)
+        val retryUntil = minOf(clock.elapsed() + FAILOVER_TIMEOUT, request.deadline - MINIMUM_ATTEMPT_TIME)
         while (true) {
             val now = clock.elapsed()
-            if (now >= giveUpAt) return false
-            groups.awaitNewerPrimary(database, term, minOf(giveUpAt, now + PAUSE))
+            if (now >= retryUntil) return false
+            groups.awaitNewerPrimary(database, term, minOf(retryUntil, now + RETRY_INTERVAL))
             if (groups.group(database).term > term) return true
             if (lock.withLock { budget.trySpend() }) return true
         }
     }
 
     private companion object {
-        /** Time between two attempts without news of the group. */
-        val PAUSE: Duration = 100.milliseconds
+        /** Time between two attempts while the term of the group does not change. */
+        val RETRY_INTERVAL: Duration = 100.milliseconds
 
-        /** Time within which a group should have a new primary. */
-        val FAILOVER_WAIT: Duration = 4.seconds
+        /** Time within which a group should have a new primary after a failover. */
+        val FAILOVER_TIMEOUT: Duration = 4.seconds
 
-        /** Time without which another attempt could not be answered before the deadline. */
-        val MINIMUM_TIME: Duration = 10.milliseconds
+        /** Least time before the deadline in which another attempt may still be answered. */
+        val MINIMUM_ATTEMPT_TIME: Duration = 10.milliseconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
@@ -37,22 +37,22 @@
 import kotlin.concurrent.withLock
 import kotlin.time.Duration
 
-/** Asks other VMs when they last heard a member of a database group. Blocks for a bounded time. */
-public typealias AskVantage = (database: DatabaseName, member: MemberName) -> List<VantageReport>
+/** Asks other VMs when a member of a database group last answered them. Blocks for a bounded time. */
+public typealias RequestVantageReports = (database: DatabaseName, member: MemberName) -> List<VantageReport>
 
-/** Publishes a primary that this VM has promoted, as far as that is possible. Correctness does not rest on it. */
+/** Publishes a primary that this VM has promoted, on a best-effort basis; correctness does not depend on it. */
 public typealias PublishPromotion = (view: GroupView, reason: LossReason) -> Unit
 
-/** Hears that the term or the primary of a group has changed. Must not block. */
+/** Called after a change of the term or the primary of a group. Must not block. */
 public typealias ViewListener = (view: GroupView) -> Unit
 
 /**
  * Settings of a [GroupRunner].
  *
- * @property incarnation number unique to this process among all that ever ran under the name [vm], such as 64 random
- * bits. A member accepts a term once more from the same proposer, so that a restarted VM must not take the name of
- * the proposer that it was before.
- * @property seed seed of the jitter between attempts.
+ * @property incarnation number that is unique among all processes that ever ran under the name [vm], such as 64 random
+ * bits. Members accept the same term again from the same proposer; a restarted VM must therefore use a new proposer
+ * name.
+ * @property seed seed of the random jitter between attempts.
  */
 public data class GroupRunnerSettings(
     val vm: VmName,
@@ -61,30 +61,37 @@
     val timing: GroupTiming = GroupTiming(),
 )
 
-/** What a [GroupRunner] asks of the rest of the VM. */
+/**
+ * Interfaces of a [GroupRunner] to the rest of the VM.
+ *
+ * @property members clients of all members of the group.
+ * @property rank rank of this VM among those that may order a promotion.
+ * @property leaving members that are about to shut down.
+ */
 public data class GroupRunnerPorts(
     val members: List<MemberPort>,
-    val askVantage: AskVantage = { _, _ -> emptyList() },
+    val requestVantageReports: RequestVantageReports = { _, _ -> emptyList() },
     val rank: CoordinatorRank = { 0 },
     val publish: PublishPromotion = { _, _ -> },
     val leaving: () -> Set<MemberName> = ::emptySet,
 )
 
 /**
- * Threads that all runners of a VM share.
+ * Threads shared by all runners of a VM.
  *
- * @property timer runs short tasks at their time and never blocks.
+ * @property timer runs short scheduled tasks, which never block.
  * @property workers run the calls to members, which block up to their timeouts: at most one report, one follow and one
- * promotion call a member at a time. A tick is late, and counts as a pause of this VM, only where [timer] is late.
+ * promotion call per member at a time. A late tick counts as a pause of this VM. Ticks run on [timer] only, so that
+ * blocked workers never delay them.
  */
 public data class GroupRunnerThreads(val timer: ScheduledExecutorService, val workers: Executor)
 
 /**
- * Observes one database group on behalf of a VM and replaces its primary when it is lost. It carries out what a
- * [GroupCoordinator] decides and offers what was learned to the request path.
+ * Observes one database group on behalf of a VM and replaces a lost primary. It performs the effects that a
+ * [GroupCoordinator] decides on, and provides the observed state to the request path.
  *
- * Thread-safe. Lock order: the runner's lock, then those of the two ledgers. Calls, listeners and ports run without
- * any of them.
+ * Thread-safe. Lock order: the runner's lock, then the locks of the two ledgers. No lock is held during calls to
+ * members, listeners and ports.
  */
 public class GroupRunner(
     private val database: DatabaseConfiguration,
@@ -96,8 +103,8 @@
     private val lock = ReentrantLock()
     private val members = ports.members.associateBy { it.member }
     private val listeners = CopyOnWriteArrayList<ViewListener>()
-    private val confirmations = ConfirmationLedger(database.majority, clock, onWaiting = ::wake)
-    private val freshness = FreshnessLedger(database.majority, clock, onWaiting = ::wake)
+    private val confirmations = ConfirmationLedger(database.majority, clock, onWaiting = ::triggerTick)
+    private val freshness = FreshnessLedger(database.majority, clock, onWaiting = ::triggerTick)
     private val coordinator = GroupCoordinator(
         database = database,
         proposer = settings.newProposer(),
@@ -112,69 +119,69 @@
     private var timer: Future<*>? = null
     private var timerAt: Duration = Duration.INFINITE
 
-    /** Begins to observe the group. */
+    /** Starts the observation of the group. */
     public fun start() {
         lock.withLock { running = true }
-        wake()
+        triggerTick()
     }
 
-    /** Ends all observation; calls under way end by themselves and change nothing here. */
+    /** Stops the observation. Calls in flight run to their end; their results are ignored. */
     public fun stop(): Unit = lock.withLock {
         running = false
         timer?.cancel(false)
         timer = null
     }
 
-    /** Returns what is known of the group. */
+    /** Returns the current view of the group: its term, its primary and the positions of its members. */
     public fun view(): GroupView = lock.withLock { coordinator.view }
 
-    /** Returns the state of the primary as this VM sees it. */
-    public fun verdict(): PrimaryVerdict = lock.withLock { coordinator.primaryVerdict }
+    /** Returns the state of the primary as judged by this VM. */
+    public fun primaryVerdict(): PrimaryVerdict = lock.withLock { coordinator.primaryVerdict }
 
-    /** Takes over what another VM knows of the group, where it is newer. */
-    public fun merge(view: GroupView): Unit = step(GroupEvent.ViewHeard(view))
+    /** Merges the [view] of another VM; only newer information is adopted. */
+    public fun merge(view: GroupView): Unit = handleEvent(GroupEvent.ViewHeard(view))
 
-    /** Has [listener] called after each change of term or primary. */
-    public fun onView(listener: ViewListener) {
+    /** Registers [listener] to be called after each change of term or primary. */
+    public fun addViewListener(listener: ViewListener) {
         listeners += listener
     }
 
-    /** Answers another VM's question when this one last heard [member]. */
+    /** Returns when [member] last answered this VM, for a VM that suspects the member. */
     public fun vantage(member: MemberName): VantageReport =
         VantageReport(settings.vm, lock.withLock { coordinator.heardAgo(member, clock.elapsed()) })
 
     /**
-     * Waits until the write that [primary] committed at [point] is confirmed by a majority of the group, at most until
-     * [deadline] of the clock. Every result but [Confirmation.CONFIRMED] leaves the outcome unknown.
+     * Blocks until a majority of the group has confirmed the write that [primary] committed at [point], at most until
+     * [deadline] of the monotonic clock. After any result but [Confirmation.CONFIRMED] the outcome is unknown.
      */
     public fun awaitConfirmation(point: HistoryPoint, primary: MemberName, deadline: Duration): Confirmation =
         confirmations.await(point, primary, deadline)
 
-    /** Returns an age that data at [point] surely does not exceed now, or null where none is proved. */
+    /** Returns a proven upper bound of the age that data at [point] has now, or null if there is none. */
     public fun provenAge(point: HistoryPoint): Duration? = freshness.provenAge(point, clock.elapsed())
 
     /**
-     * Waits until a majority is seen to follow the primary at the time [since] or later, at most until [deadline] of
-     * the clock. A read that the returned primary runs in the returned term, begun at [since] or later, sees every
-     * write acknowledged before [since]. Null where that was not seen in time.
+     * Blocks until a majority has been observed to follow the primary at the time [since] or later, at most until
+     * [deadline] of the monotonic clock. A read that starts at [since] or later at the returned primary in the returned
+     * term sees every write acknowledged before [since]. Returns null if no majority was observed in time.
      */
     public fun awaitStanding(since: Duration, deadline: Duration): Standing? = freshness.awaitStanding(since, deadline)
 
-    /** Learns from the reply of [member] to a batch that was sent at [sentAt]. */
+    /** Updates confirmations and freshness from the reply of [member] to a batch that was sent at [sentAt]. */
     public fun observeReply(member: MemberName, sentAt: Duration, reply: BatchReply) {
         confirmations.observe(member, reply.point, reply.acceptedTerm)
         freshness.observeTerm(member, reply.acceptedTerm, sentAt)
     }
 
-    private fun wake() = step(GroupEvent.Tick)
+    private fun triggerTick() = handleEvent(GroupEvent.Tick)
 
-    private fun step(event: GroupEvent) {
+    private fun handleEvent(event: GroupEvent) {
         val effects = lock.withLock {
             if (!running) return
             val now = clock.elapsed()
             coordinator.on(event, now).also { schedule(now) }
         }
-        effects.forEach(::carryOut)
+        effects.forEach(::performEffect)
     }
 
     private fun schedule(now: Duration) {
@@ -183,58 +190,58 @@
         if (pending) return
         timer?.cancel(false)
         timerAt = next
-        timer = threads.timer.schedule(::wake, (next - now).inWholeNanoseconds, TimeUnit.NANOSECONDS)
+        timer = threads.timer.schedule(::triggerTick, (next - now).inWholeNanoseconds, TimeUnit.NANOSECONDS)
     }
 
-    private fun carryOut(effect: GroupEffect): Unit = when (effect) {
+    private fun performEffect(effect: GroupEffect): Unit = when (effect) {
         is GroupEffect.ViewChanged -> listeners.forEach { it(effect.view) }
-        is GroupEffect.PublishPromotion -> onWorker { ports.publish(effect.view, effect.reason) }
-        is GroupEffect.AskVantage -> onWorker { askVantage(effect) }
-        is GroupEffect.Probe -> call(effect.member, Step.PROBE, { it.report(settings.timing.probeTimeout) }) {
+        is GroupEffect.PublishPromotion -> runOnWorker { ports.publish(effect.view, effect.reason) }
+        is GroupEffect.AskVantage -> runOnWorker { requestVantageReports(effect) }
+        is GroupEffect.Probe -> callMember(effect.member, Step.PROBE, { it.report(settings.timing.probeTimeout) }) {
             GroupEvent.ReportAnswered(effect.member, it.sentAt, it.endedAt, it.answer)
         }
-        is GroupEffect.Accept -> call(
+        is GroupEffect.Accept -> callMember(
             effect.member,
             Step.PROMOTE,
             { it.acceptTerm(effect.proposal, settings.timing.callTimeout) },
         ) { GroupEvent.AcceptAnswered(effect.proposal, effect.member, it.sentAt, it.answer) }
-        is GroupEffect.Promote -> call(
+        is GroupEffect.Promote -> callMember(
             effect.member,
             Step.PROMOTE,
             { it.promote(effect.proposal, settings.timing.callTimeout) },
         ) { GroupEvent.PromoteAnswered(effect.proposal, effect.member, it.sentAt, it.answer) }
-        is GroupEffect.Follow -> call(
+        is GroupEffect.Follow -> callMember(
             effect.member,
             Step.PROMOTE,
             { it.follow(effect.term, effect.primary, settings.timing.callTimeout) },
         ) { GroupEvent.FollowAnswered(effect.member, it.sentAt, it.answer) }
     }
 
-    private fun askVantage(effect: GroupEffect.AskVantage) {
+    private fun requestVantageReports(effect: GroupEffect.AskVantage) {
         var reports: List<VantageReport> = emptyList()
         try {
-            reports = ports.askVantage(database.name, effect.primary)
+            reports = ports.requestVantageReports(database.name, effect.primary)
         } finally {
-            step(GroupEvent.VantageAnswered(effect.primary, reports))
+            handleEvent(GroupEvent.VantageAnswered(effect.primary, reports))
         }
     }
 
-    private fun call(
+    private fun callMember(
         member: MemberName,
-        atStep: Step,
+        failureStep: Step,
         request: (MemberPort) -> MemberAnswer,
-        asEvent: (CallResult) -> GroupEvent,
-    ) = onWorker {
+        toEvent: (CallResult) -> GroupEvent,
+    ) = runOnWorker {
         val sentAt = clock.elapsed()
-        var answer: MemberAnswer = MemberFailure.NoAnswer(member, atStep, "the call ended without a result").left()
+        var answer: MemberAnswer = MemberFailure.NoAnswer(member, failureStep, "the call ended without a result").left()
         try {
             answer = request(members.getValue(member))
         } finally {
-            step(asEvent(CallResult(sentAt, clock.elapsed(), answer)))
+            handleEvent(toEvent(CallResult(sentAt, clock.elapsed(), answer)))
         }
     }
 
-    private fun onWorker(task: () -> Unit) {
+    private fun runOnWorker(task: () -> Unit) {
         try {
             threads.workers.execute(task)
         } catch (rejected: RejectedExecutionException) {
@@ -245,12 +252,12 @@
     private class CallResult(val sentAt: Duration, val endedAt: Duration, val answer: MemberAnswer)
 
     private companion object {
-        const val HEXADECIMAL = 16
+        const val HEXADECIMAL_RADIX = 16
         val runnersStarted = AtomicLong()
 
-        /** A name that no other runner has, not even an earlier one for the same group in this process. */
+        /** Returns a proposer name that is unique even among runners of the same group in this process. */
         fun GroupRunnerSettings.newProposer(): VmName {
-            val process = incarnation.toULong().toString(HEXADECIMAL)
+            val process = incarnation.toULong().toString(HEXADECIMAL_RADIX)
             return VmName("$vm/$process/${runnersStarted.incrementAndGet()}")
         }
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/ConnectionPool.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/ConnectionPool.kt
@@ -19,7 +19,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The connections of one [ConnectionTable]. Its lock is held neither while opening nor while closing one. */
+/** Pool of the connections that a [ConnectionTable] accounts for. Its lock is not held while one opens or closes. */
 internal class ConnectionPool(
     private val port: MemberPort,
     private val table: ConnectionTable,
@@ -35,26 +35,26 @@
 
     val counts: ConnectionCounts get() = lock.withLock { table.counts }
 
-    /** Takes a connection, opening one where needed, at most until [deadline]. */
-    fun take(use: ConnectionUse, deadline: Duration): Either<GatewayFailure, TrackedConnection> {
+    /** Acquires a connection, opening a new one if needed; blocks at most until [deadline]. */
+    fun acquire(use: ConnectionUse, deadline: Duration): Either<GatewayFailure, TrackedConnection> {
         applyShare()
         while (true) {
             val now = clock.elapsed()
             if (now >= deadline) return GatewayFailure.NoFreeConnection(port.member, RETRY_AFTER).left()
-            val taken = when (val acquisition = acquire(use, deadline)) {
+            val acquired = when (val acquisition = acquireOrWait(use, deadline)) {
                 is Acquisition.Reuse -> lock.withLock { connections.getValue(acquisition.number) }.right()
                 is Acquisition.Open -> open(acquisition.number, deadline)
                 is Acquisition.Wait -> null
                 Acquisition.TooManyTransactions -> GatewayFailure.NoFreeConnection(port.member, RETRY_AFTER).left()
-                Acquisition.GivenUp -> GatewayFailure.GivenUp(port.member).left()
+                Acquisition.GivenUp -> GatewayFailure.NotServed(port.member).left()
             }
-            if (taken != null) return taken
+            if (acquired != null) return acquired
         }
     }
 
-    /** Gives a connection back, which is closed unless it is [clean]. */
-    fun giveBack(connection: TrackedConnection, clean: Boolean) = change {
-        if (connection.silent) {
+    /** Returns a connection to the pool, or closes it if it is not [clean]. */
+    fun release(connection: TrackedConnection, clean: Boolean) = applyAndClose {
+        if (connection.unanswered) {
             table.drop(
                 connection.number,
             )
@@ -63,35 +63,35 @@
         }
     }
 
-    /** Closes what has been unused for too long, and what exceeds the share of this VM. */
+    /** Closes connections that were idle for too long or exceed the share of this VM. */
     fun maintain() {
         applyShare()
-        change { table.trim(clock.elapsed()) }
+        applyAndClose { table.trim(clock.elapsed()) }
     }
 
-    /** Closes the connections in use; whoever uses one sees it broken and gives it back. */
+    /** Closes the connections in use; their users find them broken and release them. */
     fun interrupt() = lock.withLock { connections.values.filter { it.inUse } }.forEach { it.close() }
 
-    fun giveUp() = change { table.giveUp() }
+    fun drain() = applyAndClose { table.giveUp() }
 
-    fun takeUp() = lock.withLock { table.takeUp() }
+    fun resume() = lock.withLock { table.takeUp() }
 
     private fun applyShare() {
         val share = connectionShare()
-        if (share != lastShare) change { table.changeShare(share).also { lastShare = share } }
+        if (share != lastShare) applyAndClose { table.changeShare(share).also { lastShare = share } }
     }
 
-    private fun acquire(use: ConnectionUse, deadline: Duration): Acquisition = lock.withLock {
+    private fun acquireOrWait(use: ConnectionUse, deadline: Duration): Acquisition = lock.withLock {
         val now = clock.elapsed()
         val acquisition = table.acquire(use, now)
         if (acquisition is Acquisition.Wait) {
-            val patience = minOf(deadline - now, acquisition.retryAfter ?: Duration.INFINITE)
-            changed.await(patience.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+            val waitTime = minOf(deadline - now, acquisition.retryAfter ?: Duration.INFINITE)
+            changed.await(waitTime.inWholeNanoseconds, TimeUnit.NANOSECONDS)
         }
         acquisition
     }
 
-    /** Returns null where the member has no connection to spare yet, which is worth another try. */
+    /** Returns null if the member refuses more connections at the moment; the caller tries again. */
     private fun open(number: ConnectionNumber, deadline: Duration): Either<GatewayFailure, TrackedConnection>? {
         var connected: Either<MemberFailure, MemberConnection>? = null
         try {
@@ -115,16 +115,16 @@
         connection: MemberConnection,
     ): Either<GatewayFailure, TrackedConnection> {
         val tracked = TrackedConnection(number, connection)
-        val wanted = lock.withLock {
+        val accepted = lock.withLock {
             changed.signalAll()
             table.opened(number, clock.elapsed()).also { if (it) connections[number] = tracked }
         }
-        if (wanted) return tracked.right()
+        if (accepted) return tracked.right()
         tracked.close()
-        return GatewayFailure.GivenUp(port.member).left()
+        return GatewayFailure.NotServed(port.member).left()
     }
 
-    private fun change(close: () -> List<ConnectionNumber>) {
+    private fun applyAndClose(close: () -> List<ConnectionNumber>) {
         val closed = lock.withLock {
             changed.signalAll()
             close().mapNotNull { connections.remove(it) }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/GatewayFailure.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/GatewayFailure.kt
@@ -5,12 +5,12 @@
 import dev.kumquatknot.core.member.MemberFailure
 import kotlin.time.Duration
 
-/** Why a [MemberGateway] has no result to give. All but [Failed] prove that nothing ran at the member. */
+/** Reason why a [MemberGateway] has no result. All but [Failed] prove that nothing ran at the member. */
 public sealed interface GatewayFailure {
     /** The member behind the gateway. */
     public val member: MemberName
 
-    /** Admission refused the work; the caller may come back after [retryAfter]. */
+    /** Admission refused the work; the caller may retry after [retryAfter]. */
     public data class Refused(
         override val member: MemberName,
         val reason: RefusalReason,
@@ -22,13 +22,13 @@
         override val member: MemberName get() = failure.member
     }
 
-    /** As many interactive transactions as allowed hold a connection, or none came free before the deadline. */
+    /** The limit of interactive transactions is reached, or no connection became free before the deadline. */
     public data class NoFreeConnection(override val member: MemberName, val retryAfter: Duration) : GatewayFailure
 
-    /** This VM has given the member up; another one holds its connections now or soon. */
-    public data class GivenUp(override val member: MemberName) : GatewayFailure
+    /** This VM does not serve the member any more; another VM holds its connections or will do so soon. */
+    public data class NotServed(override val member: MemberName) : GatewayFailure
 
-    /** The member was asked and [failure] came of it; the failure says what is known about the effect. */
+    /** The call to the member failed; [failure] tells whether the work may have run. */
     public data class Failed(val failure: MemberFailure) : GatewayFailure {
         override val member: MemberName get() = failure.member
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/MemberGateway.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/MemberGateway.kt
@@ -17,25 +17,25 @@
 import dev.kumquatknot.core.time.Clock
 import kotlin.time.Duration
 
-/** What is done with a connection of a member, within the given time. */
+/** Operation on a connection of a member that must end within the given timeout. */
 public typealias MemberAction<T> = (connection: MemberConnection, timeout: Duration) -> Either<MemberFailure, T>
 
 /**
- * Figures of a [MemberGateway] for routing, load reports and metrics.
+ * Load of a [MemberGateway], for routing, load reports and metrics.
  *
- * @property queue slots and waiting work.
- * @property connections the connections held.
+ * @property queue load of the slots and the admission queue.
+ * @property connections number of open connections by their use.
  */
 public data class GatewayLoad(val queue: QueueLoad, val connections: ConnectionCounts)
 
 /**
- * The one place through which this VM uses a member: admission to the member's slots and the pool of its connections.
+ * Single access path of this VM to a member: admission to the member's slots and the pool of its connections.
  *
- * Safe for use by any number of worker threads, which block until their work has run or is refused. There are two
- * locks, of the slots and of the connections. Neither is ever taken while the other is held, and none is held during a
- * call to the member, so there is no order among them to keep.
+ * Thread-safe; worker threads block until their work has run or is refused. Slots and connections have a lock each.
+ * Neither is acquired while the other is held, and none is held during a call to the member, so that no lock order is
+ * needed.
  *
- * @param connectionShare connections of the member that this VM may hold now; read each time one is taken.
+ * @param connectionShare number of connections of the member that this VM may hold now; read at each acquisition.
  */
 public class MemberGateway(
     private val configuration: MemberConfiguration,
@@ -53,33 +53,33 @@
         connectionShare,
     )
 
-    /** The figures of this moment. */
+    /** Current load of the queue and the connections. */
     public val load: GatewayLoad get() = GatewayLoad(slots.load, pool.counts)
 
-    /** Whether no connection is held, as is the case some time after [giveUp]. */
+    /** Whether no connection is open, which is the case some time after [drain]. */
     public val drained: Boolean get() = pool.counts.total == 0
 
     /**
-     * Waits for a slot and a connection, runs [action] and gives both back. The connection is used again only if each
-     * batch on it was answered and left no transaction open.
+     * Waits for a slot and a connection, runs [action] and releases both. The connection is reused only if every batch
+     * on it was answered and no transaction is open.
      */
     public fun <T> execute(item: WorkItem, action: MemberAction<T>): Either<GatewayFailure, T> =
         withSlot(item) { use ->
-            pool.take(ConnectionUse.BATCH, item.deadline).flatMap { connection ->
+            pool.acquire(ConnectionUse.BATCH, item.deadline).flatMap { connection ->
                 try {
                     use.run(connection, action)
                 } finally {
-                    pool.giveBack(connection, connection.clean)
+                    pool.release(connection, connection.clean)
                 }
             }
         }
 
     /**
-     * Takes a connection for an interactive transaction, without a slot. The caller gives it back by
-     * [PinnedConnection.release], also after a failure or when the transaction has idled for too long.
+     * Acquires a connection for an interactive transaction, without a slot. The caller must release it by
+     * [PinnedConnection.release], also after a failure or when the transaction was idle for too long.
      */
     public fun pin(item: WorkItem): Either<GatewayFailure, PinnedConnection> =
-        pool.take(ConnectionUse.TRANSACTION, item.deadline).map { PinnedConnection(it, this) }
+        pool.acquire(ConnectionUse.TRANSACTION, item.deadline).map { PinnedConnection(it, this) }
 
     internal fun <T> executePinned(
         connection: TrackedConnection,
@@ -88,39 +88,39 @@
     ): Either<GatewayFailure, T> = withSlot(item) { it.run(connection, action) }
 
     internal fun unpin(connection: TrackedConnection, clean: Boolean) {
-        pool.giveBack(connection, clean && connection.clean)
+        pool.release(connection, clean && connection.clean)
     }
 
-    /** Closes idle connections and applies a changed share; to be called about every second. */
+    /** Closes idle connections and applies a changed share; to be called about once a second. */
     public fun maintain() {
         pool.maintain()
     }
 
     /**
-     * Ends the batches under way without their answers, because the member is no longer what they were sent for. Their
-     * outcome is as unknown as that of any unanswered batch.
+     * Closes the connections in use without waiting for the answers, because the member has lost the role for which the
+     * batches were sent. Their outcome is unknown, as that of any unanswered batch.
      */
     public fun interrupt() {
         pool.interrupt()
     }
 
     /**
-     * Gives the member up to another VM: waiting and new work is refused as [GatewayFailure.GivenUp], idle connections
-     * close at once and the others when their work ends.
+     * Stops serving the member, which another VM takes over. Queued and new work is refused as
+     * [GatewayFailure.NotServed]; idle connections are closed at once, the others when their work ends.
      */
-    public fun giveUp() {
+    public fun drain() {
         slots.close()
-        pool.giveUp()
+        pool.drain()
     }
 
-    /** Takes the member up again after [giveUp]. */
-    public fun takeUp() {
-        pool.takeUp()
+    /** Serves the member again after [drain]. */
+    public fun resume() {
+        pool.resume()
         slots.open()
     }
 
     private fun <T> withSlot(item: WorkItem, work: (SlotUse) -> Either<GatewayFailure, T>): Either<GatewayFailure, T> =
-        slots.enter(item).flatMap { ticket ->
+        slots.acquire(item).flatMap { ticket ->
             val use = SlotUse(ticket, configuration.name, clock)
             try {
                 work(use)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/PinnedConnection.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/PinnedConnection.kt
@@ -6,7 +6,7 @@
 
 /**
  * A connection that an interactive transaction keeps between its statements. It holds a slot only while a statement
- * runs. Used by one thread at a time; [release] may come from any thread, once the last statement has ended.
+ * runs. Used by one thread at a time; [release] may be called from any thread after the last statement has ended.
  */
 public class PinnedConnection internal constructor(
     private val connection: TrackedConnection,
@@ -14,7 +14,7 @@
 ) {
     private val released = AtomicBoolean()
 
-    /** Whether the connection is lost, and the transaction with it. */
+    /** Whether the connection and with it the transaction is lost. */
     public val broken: Boolean get() = connection.broken
 
     /** Waits for a slot and runs [action] on this connection. */
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Gives the connection back. It is closed, and with it an open transaction rolled back, unless [clean] says that
-     * the transaction has ended and its last answer says so too. Releasing it again has no effect.
+     * Returns the connection to the pool if [clean] states that the transaction has ended and the last answer confirms
+     * it. Otherwise closes the connection, which rolls back an open transaction. Further calls have no effect.
      */
     public fun release(clean: Boolean) {
         if (released.compareAndSet(false, true)) gateway.unpin(connection, clean)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/SlotGate.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/SlotGate.kt
@@ -19,7 +19,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Lets worker threads wait for the slots that an [AdmissionQueue] grants. Its lock is held for no call to a member. */
+/** Blocks worker threads until an [AdmissionQueue] grants a slot. The lock is not held during calls to a member. */
 internal class SlotGate(private val member: MemberName, private val queue: AdmissionQueue, private val clock: Clock) {
     private val lock = ReentrantLock()
     private val waiting = HashMap<Ticket, Waiter>()
@@ -27,9 +27,9 @@
 
     val load: QueueLoad get() = lock.withLock { queue.load() }
 
-    /** Waits for a slot at most until the item's deadline. */
-    fun enter(item: WorkItem): Either<GatewayFailure, Ticket> = lock.withLock {
-        if (closed) return GatewayFailure.GivenUp(member).left()
+    /** Blocks until a slot is granted, at most until the item's deadline. */
+    fun acquire(item: WorkItem): Either<GatewayFailure, Ticket> = lock.withLock {
+        if (closed) return GatewayFailure.NotServed(member).left()
         when (val admission = queue.offer(item, clock.elapsed())) {
             is Admission.Granted -> admission.ticket.right()
             is Admission.Refused -> admission.toFailure().left()
@@ -37,17 +37,17 @@
         }
     }
 
-    /** Gives back the slot of a statement that ran for [serviceTime]. */
-    fun leave(ticket: Ticket, serviceTime: Duration, answered: Boolean) = lock.withLock {
-        signal(queue.release(ticket, clock.elapsed(), serviceTime, answered))
+    /** Releases the slot of a statement that ran for [serviceTime]. */
+    fun release(ticket: Ticket, serviceTime: Duration, answered: Boolean) = lock.withLock {
+        notifyWaiters(queue.release(ticket, clock.elapsed(), serviceTime, answered))
     }
 
-    /** Gives back a slot that was held for [held] without a statement having run. */
-    fun abandon(ticket: Ticket, held: Duration) = lock.withLock {
-        signal(queue.abandon(ticket, clock.elapsed(), held))
+    /** Releases a slot that was held for the time [held] while no statement ran. */
+    fun releaseUnused(ticket: Ticket, held: Duration) = lock.withLock {
+        notifyWaiters(queue.abandon(ticket, clock.elapsed(), held))
     }
 
-    /** Refuses all that wait and, until [open], all that comes. */
+    /** Refuses all waiting items and, until [open], all new ones. */
     fun close() = lock.withLock {
         closed = true
         waiting.values.forEach { it.changed.signal() }
@@ -61,8 +61,8 @@
         try {
             return awaitResult(ticket, waiter)
         } catch (interruption: InterruptedException) {
-            if (waiter.result?.isRight() == true) signal(queue.abandon(ticket, clock.elapsed(), Duration.ZERO))
-            signal(queue.cancel(ticket, clock.elapsed()))
+            if (waiter.result?.isRight() == true) notifyWaiters(queue.abandon(ticket, clock.elapsed(), Duration.ZERO))
+            notifyWaiters(queue.cancel(ticket, clock.elapsed()))
             throw interruption
         } finally {
             waiting.remove(ticket)
@@ -73,16 +73,16 @@
         while (true) {
             waiter.result?.let { return it }
             val now = clock.elapsed()
-            if (closed) return GatewayFailure.GivenUp(member).left().also { signal(queue.cancel(ticket, now)) }
+            if (closed) return GatewayFailure.NotServed(member).left().also { notifyWaiters(queue.cancel(ticket, now)) }
             if (now >= ticket.item.deadline) {
-                signal(queue.cancel(ticket, now))
+                notifyWaiters(queue.cancel(ticket, now))
                 return GatewayFailure.Refused(member, RefusalReason.DEADLINE_PASSED, RETRY_AFTER).left()
             }
             waiter.changed.await((ticket.item.deadline - now).inWholeNanoseconds, TimeUnit.NANOSECONDS)
         }
     }
 
-    private fun signal(changes: QueueChanges) {
+    private fun notifyWaiters(changes: QueueChanges) {
         changes.granted.forEach { waiting[it]?.finish(it.right()) }
         changes.expired.forEach { waiting[it.ticket]?.finish(it.refusal.toFailure().left()) }
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/SlotUse.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/SlotUse.kt
@@ -11,13 +11,13 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The time for which one item holds a slot, and how much of it a statement ran. Used by one thread. */
+/** Tracks how long an item holds a slot and how long a statement ran meanwhile. Used by one thread. */
 internal class SlotUse(private val ticket: Ticket, private val member: MemberName, private val clock: Clock) {
-    private val enteredAt = clock.elapsed()
-    private var ran: Duration? = null
+    private val acquiredAt = clock.elapsed()
+    private var statementTime: Duration? = null
     private var answered = true
 
-    /** Runs [action] for the time that the item's deadline leaves. */
+    /** Runs [action] with the time until the item's deadline as its timeout. */
     fun <T> run(connection: TrackedConnection, action: MemberAction<T>): Either<GatewayFailure, T> {
         val startedAt = clock.elapsed()
         val timeout = ticket.item.deadline - startedAt
@@ -28,18 +28,18 @@
         try {
             return action(connection, timeout).mapLeft { GatewayFailure.Failed(it) }
         } finally {
-            ran = clock.elapsed() - startedAt
-            answered = !connection.silent
+            statementTime = clock.elapsed() - startedAt
+            answered = !connection.unanswered
         }
     }
 
-    /** Gives the slot back. */
+    /** Releases the slot and reports the time of the statement, if one ran. */
     fun end(slots: SlotGate) {
-        val serviceTime = ran
+        val serviceTime = statementTime
         if (serviceTime == null) {
-            slots.abandon(ticket, clock.elapsed() - enteredAt)
+            slots.releaseUnused(ticket, clock.elapsed() - acquiredAt)
         } else {
-            slots.leave(ticket, serviceTime, answered)
+            slots.release(ticket, serviceTime, answered)
         }
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/TrackedConnection.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/member/TrackedConnection.kt
@@ -9,7 +9,7 @@
 import dev.kumquatknot.core.pooling.ConnectionNumber
 import kotlin.time.Duration
 
-/** A connection of the pool that knows whether it has an open transaction and whether it can still be used. */
+/** A pooled connection that tracks whether a transaction is open on it and whether it can be reused. */
 internal class TrackedConnection(
     val number: ConnectionNumber,
     private val connection: MemberConnection,
@@ -18,18 +18,18 @@
     var transactionOpen: Boolean = false
         private set
 
-    /** Whether the connection is of no more use. */
+    /** Whether the connection is closed or failed and must not be used again. */
     @Volatile
     var broken: Boolean = false
         private set
 
-    /** Whether a batch is under way. */
+    /** Whether a batch is running on the connection. */
     @Volatile
     var inUse: Boolean = false
         private set
 
-    /** Whether the member left a call without an answer. */
-    var silent: Boolean = false
+    /** Whether the member did not answer a call on this connection. */
+    var unanswered: Boolean = false
         private set
 
     /** Whether the connection may serve another request. */
@@ -42,7 +42,7 @@
         try {
             return connection.run(batch, timeout)
                 .onRight { transactionOpen = batch.end == BatchEnd.KEEP_OPEN }
-                .onLeft { note(it, wasOpen) }
+                .onLeft { recordFailure(it, wasOpen) }
         } finally {
             inUse = false
         }
@@ -53,14 +53,14 @@
         connection.close()
     }
 
-    private fun note(failure: MemberFailure, wasOpen: Boolean) {
+    private fun recordFailure(failure: MemberFailure, wasOpen: Boolean) {
         when (failure) {
             is MemberFailure.StatementFailed -> transactionOpen = false
             is MemberFailure.LowerTerm, is MemberFailure.NotPrimary -> transactionOpen = wasOpen
             is MemberFailure.TooManyConnections, is MemberFailure.Unreachable -> broken = true
             is MemberFailure.NoAnswer -> {
                 broken = true
-                silent = true
+                unanswered = true
             }
         }
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
@@ -23,18 +23,18 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Called after the view of the fleet has changed. Runs without locks held. */
+/** Called after each change of the view of the fleet. No lock is held during the call. */
 internal typealias MembershipListener = (Membership) -> Unit
 
 /** Called when [peer] has a configuration with [number]. */
 internal typealias ConfigurationNumberListener = (peer: VmRecord, number: Long) -> Unit
 
 /**
- * Keeps this node's view of the other nodes: probes one node a period, asks others to probe it when it is silent, and
- * passes on news of VMs and primaries with each probe. Fresh news also goes to a few nodes at once. The cost of a
- * period does not depend on the size of the fleet.
+ * Maintains this node's view of the fleet by a gossip protocol. In each period it probes one node, asks others to probe
+ * a node that does not answer, and sends updates of VMs and primaries with each probe. New updates are also pushed to a
+ * few nodes at once. The cost of a period does not depend on the size of the fleet.
  *
- * Thread-safe; its one lock is never held during a call or a listener.
+ * Thread-safe; its lock is not held during calls to peers and listeners.
  */
 internal class MembershipRunner(
     self: VmRecord,
@@ -47,11 +47,11 @@
 ) {
     private val lock = ReentrantLock()
     private var membership = Membership(self)
-    private val vmNews = NewsQueue<VmName, VmRecord>(NEWS_IN_MESSAGE)
-    private val primaryNews = NewsQueue<DatabaseName, PrimaryRecord>(NEWS_IN_MESSAGE)
+    private val vmUpdates = GossipQueue<VmName, VmRecord>(MAXIMUM_UPDATES_PER_MESSAGE)
+    private val primaryUpdates = GossipQueue<DatabaseName, PrimaryRecord>(MAXIMUM_UPDATES_PER_MESSAGE)
     private val primaries = HashMap<DatabaseName, PrimaryRecord>()
     private var probeOrder = ArrayDeque<VmName>()
-    private var period = 0L
+    private var periodNumber = 0L
 
     /** Called after each change of the view. */
     var onChange: MembershipListener = {}
@@ -59,139 +59,139 @@
     /** Called when another node has a higher configuration number. */
     var onConfigurationNumber: ConfigurationNumberListener = { _, _ -> }
 
-    /** Called when a newer primary of a group is heard of. */
+    /** Called when a primary of a newer term is received or announced. */
     var onPrimary: (PrimaryRecord) -> Unit = {}
 
     init {
-        vmNews.add(self.name, self)
+        vmUpdates.add(self.name, self)
     }
 
-    /** The view of this moment. */
+    /** Current view of the fleet; immutable. */
     val view: Membership get() = lock.withLock { membership }
 
     /** Returns the newest known primary of [database]. */
     fun primary(database: DatabaseName): PrimaryRecord? = lock.withLock { primaries[database] }
 
-    /** Runs one period: ages the view, probes one node and passes on news. */
+    /** Runs one protocol period: expires suspicions in the view, probes one node and sends it updates. */
     fun runPeriod() {
-        apply { it.aged(clock.elapsed()) }
-        val target = nextTarget() ?: return
-        val full = lock.withLock { period++ % FULL_EXCHANGE_PERIODS == 0L }
+        applyChange { it.aged(clock.elapsed()) }
+        val target = nextProbeTarget() ?: return
+        val full = lock.withLock { periodNumber++ % FULL_EXCHANGE_PERIODS == 0L }
         if (!exchange(target, message(full, regular = true))) probeIndirectly(target)
     }
 
-    /** Exchanges everything with the node at [address], whose name need not be known; for a node that starts. */
+    /** Exchanges the full state with the node at [address] at startup; [name] may differ from the node's own name. */
     fun join(address: String, name: VmName): Boolean {
-        val stranger = VmRecord(name, view.self.dataCentre, address, Membership.FIRST_INCARNATION, VmCondition.LIVE)
-        return exchange(stranger, message(full = true))
+        val unnamedPeer = VmRecord(name, view.self.dataCentre, address, Membership.FIRST_INCARNATION, VmCondition.LIVE)
+        return exchange(unnamedPeer, message(full = true))
     }
 
-    /** Takes in the platform's list of VMs. Live ones are no news to others, who read the same list. */
-    fun listed(list: List<ListedVm>, memberNames: Set<MemberName>) = apply { membership ->
+    /** Merges the platform's list of VMs. Live ones are not gossiped, because the other nodes read the same list. */
+    fun mergeListedVms(list: List<ListedVm>, memberNames: Set<MemberName>) = applyChange { membership ->
         val change = membership.listed(list, memberNames, clock.elapsed())
         change.copy(news = change.news.filter { it.condition != VmCondition.LIVE })
     }
 
-    /** Takes in that a call to [vm] was refused, before the next probe finds out. */
-    fun reportSilent(vm: VmName) = apply { it.silent(vm, clock.elapsed()) }
+    /** Records that a call to [vm] failed, without waiting for the next probe. */
+    fun reportUnresponsive(vm: VmName) = applyChange { it.silent(vm, clock.elapsed()) }
 
-    /** Marks this VM as leaving and tells others at once. */
-    fun leave() = apply { it.leave() }
+    /** Marks this VM as leaving and pushes the change to other nodes at once. */
+    fun leave() = applyChange { it.leave() }
 
-    /** Takes in a primary that this VM has promoted or observed. */
+    /** Records and pushes a primary that this VM has promoted or observed. */
     fun announce(record: PrimaryRecord) = acceptPrimaries(listOf(record))
 
-    /** Answers a message of another node. */
+    /** Processes a message of another node and returns the reply. */
     fun receive(message: GossipMessage): GossipMessage {
-        take(message)
-        return message(message.full, forSender = message.sender)
+        processMessage(message)
+        return message(message.full, recipient = message.sender)
     }
 
     private fun exchange(target: VmRecord, message: GossipMessage): Boolean =
         peers.gossip(target, message, PROBE_TIMEOUT).fold(
             { false },
             {
-                take(it)
+                processMessage(it)
                 true
             },
         )
 
     private fun probeIndirectly(target: VmRecord) {
-        val helpers = randomPeers(INDIRECT_PROBES, except = target.name)
+        val helpers = randomPeers(INDIRECT_PROBE_COUNT, except = target.name)
         val answered = helpers.any { helper ->
-            peers.probeIndirectly(helper, target, INDIRECT_TIMEOUT).fold({ false }, { it })
+            peers.probeIndirectly(helper, target, INDIRECT_PROBE_TIMEOUT).fold({ false }, { it })
         }
-        if (!answered) apply { it.silent(target.name, clock.elapsed()) }
+        if (!answered) applyChange { it.silent(target.name, clock.elapsed()) }
     }
 
-    private fun take(message: GossipMessage) {
-        apply { it.merged(message.vms + message.sender, clock.elapsed()) }
+    private fun processMessage(message: GossipMessage) {
+        applyChange { it.merged(message.vms + message.sender, clock.elapsed()) }
         acceptPrimaries(message.primaries)
         if (message.configurationNumber > configurationNumber()) {
             onConfigurationNumber(message.sender, message.configurationNumber)
         }
     }
 
-    /** Only regular messages count as passing news on; others often go to nodes that know it already. */
+    /** Only regular messages count as transmissions; others often go to nodes that have the updates already. */
     private fun message(
         full: Boolean = false,
         regular: Boolean = false,
-        forSender: VmRecord? = null,
+        recipient: VmRecord? = null,
     ): GossipMessage = lock.withLock {
         val nodes = membership.records.size
-        val refutable = forSender?.let { membership.record(it.name) }?.takeIf { it.overrides(forSender) }
+        val refutation = recipient?.let { membership.record(it.name) }?.takeIf { it.overrides(recipient) }
         val vms = when {
             full -> membership.records.values.toList()
-            regular -> vmNews.take(nodes)
-            else -> vmNews.peek()
+            regular -> vmUpdates.takeForTransmission(nodes)
+            else -> vmUpdates.peek()
         }
-        val known = when {
+        val primaryRecords = when {
             full -> primaries.values.toList()
-            regular -> primaryNews.take(nodes)
-            else -> primaryNews.peek()
+            regular -> primaryUpdates.takeForTransmission(nodes)
+            else -> primaryUpdates.peek()
         }
-        GossipMessage(membership.self, vms + listOfNotNull(refutable), known, configurationNumber(), full)
+        GossipMessage(membership.self, vms + listOfNotNull(refutation), primaryRecords, configurationNumber(), full)
     }
 
-    private fun apply(change: (Membership) -> MembershipChange) {
+    private fun applyChange(change: (Membership) -> MembershipChange) {
         val (before, after) = lock.withLock {
             val previous = membership
             val next = change(previous)
             membership = next.membership
-            next.news.forEach { vmNews.add(it.name, it) }
+            next.news.forEach { vmUpdates.add(it.name, it) }
             previous to next
         }
         if (after.membership === before) return
         logChanges(before, after)
         onChange(after.membership)
-        if (after.news.isNotEmpty()) pushNews()
+        if (after.news.isNotEmpty()) pushUpdates()
     }
 
     private fun acceptPrimaries(records: List<PrimaryRecord>) {
         val newer = lock.withLock {
             records.filter { it.term > (primaries[it.database]?.term ?: Term(0)) }.onEach {
                 primaries[it.database] = it
-                primaryNews.add(it.database, it)
+                primaryUpdates.add(it.database, it)
             }
         }
         newer.forEach { onPrimary(it) }
-        if (newer.isNotEmpty()) pushNews()
+        if (newer.isNotEmpty()) pushUpdates()
     }
 
-    private fun pushNews() {
+    private fun pushUpdates() {
         try {
             randomPeers(PUSH_FANOUT, except = null).forEach { peer ->
                 executor.execute { exchange(peer, message()) }
             }
         } catch (_: RejectedExecutionException) {
-            // The node is stopping; others learn of the news by their probes.
+            // The node is stopping; other nodes get the updates by their probes.
         }
     }
 
-    private fun nextTarget(): VmRecord? = lock.withLock {
+    private fun nextProbeTarget(): VmRecord? = lock.withLock {
         val others = membership.records.values.filter { it.name != membership.self.name }
-        val revisit = others.filter { it.condition == VmCondition.FAILED }
-        if (revisit.isNotEmpty() && period % REVISIT_PERIODS == 0L) return revisit[random.nextInt(revisit.size)]
+        val failed = others.filter { it.condition == VmCondition.FAILED }
+        if (failed.isNotEmpty() && periodNumber % FAILED_PROBE_PERIODS == 0L) return failed[random.nextInt(failed.size)]
         if (probeOrder.isEmpty()) {
             val candidates = others.filter { it.condition != VmCondition.FAILED }.map { it.name }
             probeOrder = ArrayDeque(shuffled(candidates))
@@ -200,7 +200,7 @@
     }
 
     private fun shuffled(names: List<VmName>): List<VmName> =
-        names.map { it to random.nextInt() }.sortedBy { (_, place) -> place }.map { (name, _) -> name }
+        names.map { it to random.nextInt() }.sortedBy { (_, sortKey) -> sortKey }.map { (name, _) -> name }
 
     private fun randomPeers(count: Int, except: VmName?): List<VmRecord> = lock.withLock {
         val candidates = membership.usable.filter { it.name != membership.self.name && it.name != except }
@@ -220,15 +220,15 @@
     }
 
     companion object {
-        /** Time between two probes of a node. */
-        val PERIOD: Duration = 1000.milliseconds
+        /** Length of a protocol period, in which a node sends one probe. */
+        val PROBE_PERIOD: Duration = 1000.milliseconds
 
         private val PROBE_TIMEOUT = 500.milliseconds
-        private val INDIRECT_TIMEOUT = 1000.milliseconds
-        private const val INDIRECT_PROBES = 3
+        private val INDIRECT_PROBE_TIMEOUT = 1000.milliseconds
+        private const val INDIRECT_PROBE_COUNT = 3
         private const val PUSH_FANOUT = 4
-        private const val NEWS_IN_MESSAGE = 32
-        private const val REVISIT_PERIODS = 8L
+        private const val MAXIMUM_UPDATES_PER_MESSAGE = 32
+        private const val FAILED_PROBE_PERIODS = 8L
         private const val FULL_EXCHANGE_PERIODS = 60L
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/Ownership.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/GatewayAssignment.kt
@@ -10,28 +10,28 @@
 import dev.kumquatknot.core.membership.VmRecord
 import java.util.concurrent.ConcurrentHashMap
 
-/** Which VM is the gateway of which member, by one configuration and one view of the fleet. Immutable. */
-internal class Ownership(private val configuration: FleetConfiguration, private val membership: Membership) {
+/** Assignment of members to gateways for one configuration and one view of the fleet. Immutable but for a cache. */
+internal class GatewayAssignment(private val configuration: FleetConfiguration, private val membership: Membership) {
     private val selection = GatewaySelection(configuration::region)
     private val candidates = ConcurrentHashMap<MemberName, List<VmRecord>>()
 
-    /** Returns the gateway of [member] and its deputies, at most [CANDIDATES]; worked out once for each member. */
-    fun order(member: MemberConfiguration): List<VmRecord> = candidates.getOrPut(member.name) {
-        selection.order(member.name.value, member.dataCentre, membership.usable).take(CANDIDATES)
+    /** Returns the gateway and the fallback gateways of [member], at most [GATEWAY_CANDIDATES]; cached by member. */
+    fun gatewayCandidates(member: MemberConfiguration): List<VmRecord> = candidates.getOrPut(member.name) {
+        selection.order(member.name.value, member.dataCentre, membership.usable).take(GATEWAY_CANDIDATES)
     }
 
-    /** Returns the gateway of [member], or null where no VM takes new work. */
+    /** Returns the gateway of [member], or null if no VM accepts new work. */
     fun gateway(member: MemberConfiguration): VmRecord? =
         selection.gateway(member.name.value, member.dataCentre, membership.usable)
 
-    /** Returns the members whose gateway is [vm]. */
+    /** Returns the names of all members whose gateway is [vm]. */
     fun membersOf(vm: VmName): Set<MemberName> = configuration.databases
         .flatMap { it.members }
         .filter { gateway(it)?.name == vm }
         .map { it.name }
         .toSet()
 
-    /** Returns the place of [vm] among the gateways of the group; the first orders a promotion. */
+    /** Returns the rank of [vm] among the gateways of the group; the VM with rank 0 orders a promotion first. */
     fun coordinatorRank(database: DatabaseConfiguration, vm: VmName): Int {
         val gateways = database.members.mapNotNull { gateway(it) }.distinctBy { it.name }
         val first = database.members.first()
@@ -41,9 +41,9 @@
     }
 
     companion object {
-        private const val CANDIDATES = 3
+        private const val GATEWAY_CANDIDATES = 3
 
-        /** Ownership before any configuration is known. */
-        fun none(self: VmRecord): Ownership = Ownership(FleetConfiguration.EMPTY, Membership(self))
+        /** Returns the assignment without any members, for use before a configuration is known. */
+        fun none(self: VmRecord): GatewayAssignment = GatewayAssignment(FleetConfiguration.EMPTY, Membership(self))
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
@@ -17,18 +17,18 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Makes the port of a member. */
+/** Creates the client of a member. */
 public typealias MemberPorts = (MemberConfiguration) -> MemberPort
 
-/** Makes the runner that observes a database group through [ports]. */
+/** Creates the runner that observes a database group through [ports]. */
 internal typealias NewGroupRunner = (database: DatabaseConfiguration, ports: List<MemberPort>) -> GroupRunner
 
 /**
- * The members that this VM serves: those whose gateway it is, and, with a small share of connections, those for which
- * other VMs ask it while they cannot reach the gateway or disagree about it.
+ * Members that this VM serves: those whose gateway it is and, with a small share of connections, those for which other
+ * VMs use it as a fallback while they cannot reach the gateway or disagree about it.
  *
- * Thread-safe; its lock is held while hosts are made and dropped, never during a call to a member. Lock order: this
- * lock, then those of a gateway or runner.
+ * Thread-safe; the lock is held while hosts are created and removed, never during a call to a member. Lock order: this
+ * lock, then the locks of a gateway or runner.
  */
 internal class MemberHosts(
     private val newPort: MemberPorts,
@@ -41,42 +41,42 @@
     private var ownedSince: Map<MemberName, Duration> = emptyMap()
     private val groups = HashMap<DatabaseName, HostedGroup>()
 
-    /** Returns the host of [member], made as needed; null where the configuration in force has no such member. */
+    /** Returns the host of [member], created on demand; null if the configuration in force has no such member. */
     fun find(database: DatabaseName, member: MemberName): MemberHost? = lock.withLock {
         val databaseConfiguration = configuration.database(database) ?: return null
         val memberConfiguration = databaseConfiguration.members.firstOrNull { it.name == member } ?: return null
-        hosted(databaseConfiguration).host(memberConfiguration).also { it.usedAt = clock.elapsed() }.host
+        hostedGroup(databaseConfiguration).host(memberConfiguration).also { it.lastUsedAt = clock.elapsed() }.host
     }
 
-    /** Returns the runner of [database] if this VM observes the group. */
+    /** Returns the runner of [database], or null if this VM does not observe the group. */
     fun runner(database: DatabaseName): GroupRunner? = lock.withLock { groups[database]?.runner }
 
-    /** Returns the longest time for which a member of [database] has not answered this VM. */
-    fun lastGap(database: DatabaseName): Duration {
+    /** Returns the longest time since the last answer of any member of [database] to this VM. */
+    fun longestSilence(database: DatabaseName): Duration {
         val group = lock.withLock { groups[database] } ?: return Duration.ZERO
         return group.memberNames.mapNotNull { group.runner.vantage(it).heardAgo }.maxOrNull() ?: Duration.ZERO
     }
 
-    /** Ends the work under way at members of [database] that were taken for its primary and are not [primary]. */
+    /** Interrupts the work at members of [database] that this VM treated as its primary and that are not [primary]. */
     fun interruptSuperseded(database: DatabaseName, primary: MemberName) {
         val superseded = lock.withLock {
             val group = groups[database] ?: return
-            val former = group.servedAs.filter { it != primary }
-            group.servedAs = setOf(primary)
+            val former = group.assumedPrimaries.filter { it != primary }
+            group.assumedPrimaries = setOf(primary)
             former.mapNotNull { group.hosts[it]?.host }
         }
         superseded.forEach { it.gateway.interrupt() }
     }
 
-    /** Returns all hosts. */
+    /** Returns the hosts of all groups at this moment. */
     fun all(): List<MemberHost> = lock.withLock {
         groups.values.flatMap { group ->
             group.hosts.values.map { it.host }
         }
     }
 
-    /** Applies a configuration and the members whose gateway this VM is by it. */
-    fun apply(next: FleetConfiguration, owned: Set<MemberName>) = lock.withLock {
+    /** Applies the configuration [next], in which this VM is the gateway of the members [owned]. */
+    fun applyConfiguration(next: FleetConfiguration, owned: Set<MemberName>) = lock.withLock {
         val now = clock.elapsed()
         val changed = groups.keys.filter { next.database(it) != configuration.database(it) }
         changed.forEach { groups.remove(it)?.close() }
@@ -85,11 +85,11 @@
         (ownedSince.keys - owned).forEach { events.log(Event.GATEWAY_GIVEN_UP, "member" to it.value) }
         ownedSince = owned.associateWith { ownedSince[it] ?: now }
         next.databases.forEach { database ->
-            database.members.filter { it.name in owned }.forEach { hosted(database).host(it) }
+            database.members.filter { it.name in owned }.forEach { hostedGroup(database).host(it) }
         }
     }
 
-    /** Trims connections and drops what is no longer used; to be called about every second. */
+    /** Closes idle connections and removes unused hosts; to be called about once a second. */
     fun maintain() {
         val now = clock.elapsed()
         all().forEach { it.gateway.maintain() }
@@ -100,14 +100,14 @@
         }
     }
 
-    /** Closes all connections and ends all observation. */
+    /** Closes all connections and stops the observation of all groups. */
     fun close() = lock.withLock {
         groups.values.forEach { it.close() }
         groups.clear()
         configuration = FleetConfiguration.EMPTY
     }
 
-    private fun hosted(database: DatabaseConfiguration): HostedGroup = groups.getOrPut(database.name) {
+    private fun hostedGroup(database: DatabaseConfiguration): HostedGroup = groups.getOrPut(database.name) {
         val ports = database.members.map { newPort(it) }
         HostedGroup(database, ports, newRunner(database, ports).also { it.start() })
     }
@@ -125,8 +125,8 @@
         val memberNames: List<MemberName> = database.members.map { it.name }
         val hosts = HashMap<MemberName, HostedMember>()
 
-        /** Members that were known as the primary since the last change. */
-        var servedAs: Set<MemberName> = emptySet()
+        /** Members that this VM has treated as the primary since the last change of primary. */
+        var assumedPrimaries: Set<MemberName> = emptySet()
 
         fun host(member: MemberConfiguration): HostedMember = hosts.getOrPut(member.name) {
             val port = ports.first { it.member == member.name }
@@ -135,23 +135,25 @@
         }
 
         fun dropUnused(owned: Set<MemberName>, now: Duration) {
-            val unused = hosts.filter { (name, hosted) -> name !in owned && now - hosted.usedAt > KEEP_UNUSED }
-            unused.forEach { (name, hosted) ->
-                hosted.host.gateway.giveUp()
+            val unused = hosts.filter { (name, hostedMember) ->
+                name !in owned && now - hostedMember.lastUsedAt > UNUSED_HOST_TIMEOUT
+            }
+            unused.forEach { (name, hostedMember) ->
+                hostedMember.host.gateway.drain()
                 hosts.remove(name)
             }
         }
 
         fun close() {
             runner.stop()
-            hosts.values.forEach { it.host.gateway.giveUp() }
+            hosts.values.forEach { it.host.gateway.drain() }
         }
     }
 
-    private class HostedMember(val host: MemberHost, var usedAt: Duration)
+    private class HostedMember(val host: MemberHost, var lastUsedAt: Duration)
 
     private companion object {
-        /** Time for which an unused member of another gateway is kept; longer than any transaction. */
-        val KEEP_UNUSED = 90.seconds
+        /** Time for which the unused host of a member with another gateway is kept; longer than any transaction. */
+        val UNUSED_HOST_TIMEOUT = 90.seconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeDependencies.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeDependencies.kt
@@ -14,8 +14,8 @@
 /**
  * Identity of a node.
  *
- * @property address host and port at which it serves other nodes.
- * @property seeds addresses of other nodes to ask while the platform does not answer.
+ * @property address host and port at which it accepts calls of other nodes.
+ * @property seeds addresses of other nodes that the node joins at startup, in case the platform does not answer.
  */
 public data class NodeIdentity(
     val vm: VmName,
@@ -25,11 +25,11 @@
 )
 
 /**
- * What a node uses of the world around it.
+ * External dependencies of a node.
  *
- * @property seed seed of all random choices of the node; different on every start.
- * @property sessionKeys keys that sign session tokens, as the platform holds them, for nodes that start while the
- * platform does not answer.
+ * @property seed seed of all random choices of the node; must differ on every start.
+ * @property sessionKeys keys that sign session tokens, in the format of the platform; sent to nodes that start while
+ * the platform does not answer.
  * @property onPromotion called after this node has promoted a primary.
  */
 public class NodeDependencies(
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
@@ -33,16 +33,16 @@
 import java.util.Base64
 import kotlin.time.Duration.Companion.seconds
 
-/** Why a node did not start. [detail] says what to do. */
+/** Reason why a node did not start. [detail] also tells the operator how to fix it. */
 public data class LaunchFailure(val detail: String)
 
 /**
- * Builds a node and its servers from settings.
+ * Builds a node with its servers from settings.
  *
- * @param clock time of the node.
+ * @param clock clock of the node.
  */
 public class NodeLauncher(private val clock: Clock = SystemClock) {
-    /** Builds the node; nothing listens before [RunningNode.start]. */
+    /** Builds the node; no server listens before [RunningNode.start]. Fails if the session keys are not available. */
     public fun build(settings: NodeSettings): Either<LaunchFailure, RunningNode> = either {
         val store = HttpObjectStore(URI("http://${settings.platformAddress}"))
         val peers = GrpcPeers()
@@ -53,7 +53,7 @@
         val identity =
             NodeIdentity(settings.vm, settings.dataCentre, settings.nodeAddress, settings.seedAddresses)
         lateinit var node: ProxyNode
-        val parts = NodeDependencies(
+        val dependencies = NodeDependencies(
             store = store,
             memberPorts = ports,
             peers = peers,
@@ -63,16 +63,16 @@
             clock = clock,
             workers = settings.workers,
             sessionKeys = Json.encodeToString(SessionKeys.serializer(), keys),
-            onPromotion = { database, term -> recorder.failedOver(database, term, node.gapOf(database)) },
+            onPromotion = { database, term -> recorder.failedOver(database, term, node.primarySilence(database)) },
         )
-        node = ProxyNode(identity, parts)
+        node = ProxyNode(identity, dependencies)
         val summaries = SummaryStore(store)
         val page = TodayPage(summaries, recorder, clock, { node.configuration }, { node.usableVms() })
         val server = NodeServer(
             node = node,
             handle = RecordingHandler(node::handle, recorder, clock)::handle,
             identity = identity,
-            parts = parts,
+            dependencies = dependencies,
             addresses = settings.listenAddresses(),
             keys = keys.toSigningKeys(),
             pages = OperatorPages(page::html) { NodeStatus.of(node) },
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
@@ -22,9 +22,9 @@
 /**
  * Addresses at which a node listens.
  *
- * @property callers where callers send requests.
- * @property operators where operators read the pages of the node.
- * @property nodes where other nodes call.
+ * @property callers address for requests of callers.
+ * @property operators address of the pages for operators.
+ * @property nodes address for calls of other nodes.
  */
 public data class ListenAddresses(
     val callers: InetSocketAddress,
@@ -35,37 +35,37 @@
 /**
  * Keys that sign session tokens and transaction handles.
  *
- * @property previous the key before the current one, whose tokens stay valid.
+ * @property previous key before the last rotation, whose tokens stay valid; null if there is none.
  */
 public class SigningKeys(public val current: ByteArray, public val previous: ByteArray?)
 
 /**
- * The pages that a node shows to operators.
+ * Pages of a node for operators.
  *
- * @property today today's page in HTML.
+ * @property today the page of the current day in HTML.
  * @property status state of the node in JSON.
  */
 public class OperatorPages(public val today: () -> String, public val status: () -> String)
 
-/** A [ProxyNode] with its servers: towards callers, operators and other nodes. */
+/** A [ProxyNode] with its servers for callers, operators and other nodes. */
 public class NodeServer(
     private val node: ProxyNode,
     private val handle: HandleRequest,
     private val identity: NodeIdentity,
-    private val parts: NodeDependencies,
+    private val dependencies: NodeDependencies,
     private val addresses: ListenAddresses,
     keys: SigningKeys,
     pages: OperatorPages,
 ) {
-    private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(parts.seed + 1)
+    private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(dependencies.seed + 1)
     private val requestNumbers = AtomicLong(random.nextLong() ushr REQUEST_NUMBER_SHIFT)
-    private val limits = EdgeLimits(parts.workers)
+    private val limits = EdgeLimits(dependencies.workers)
     private val callers: Http4kServer = WorkerPoolServer(
         WorkerPoolSettings(
             address = addresses.callers.hostString,
             port = addresses.callers.port,
-            workers = parts.workers,
-            stopTime = STOP_TIME,
+            workers = dependencies.workers,
+            stopTime = DRAIN_TIMEOUT,
         ),
     ).toServer(callerApi(keys).handler())
     private val operators: Http4kServer = WorkerPoolServer(
@@ -73,16 +73,16 @@
             address = addresses.operators.hostString,
             port = addresses.operators.port,
             workers = OPERATOR_WORKERS,
-            stopTime = OPERATOR_STOP_TIME,
+            stopTime = OPERATOR_DRAIN_TIMEOUT,
         ),
     ).toServer(operatorApi(pages).handler())
     private val nodes =
         GrpcNodeServer(addresses.nodes, identity.vm, node.peerService, node.workExecutor, node.controlExecutor)
 
-    /** Port towards callers, once started. */
+    /** Port for callers; available after [start]. */
     public val callerPort: Int get() = callers.port()
 
-    /** Port towards operators, once started. */
+    /** Port for operators; available after [start]. */
     public val operatorPort: Int get() = operators.port()
 
     /** Starts the servers and the node. Callers are served once the node has a configuration. */
@@ -94,15 +94,15 @@
     }
 
     /**
-     * Stops gracefully: tells the fleet, lets the balancer notice, answers what is in flight, lets open transactions
-     * end, and closes.
+     * Stops gracefully: announces to the fleet that the node is leaving, waits until the load balancer has seen that it
+     * is not ready, answers the requests in flight, waits for open transactions and closes the servers.
      */
     public fun stop() {
         node.leave()
-        Thread.sleep(NOTICE_TIME.inWholeMilliseconds)
+        Thread.sleep(READINESS_NOTICE_TIME.inWholeMilliseconds)
         callers.stop()
-        node.awaitTransactions(TRANSACTION_TIME)
-        nodes.stop(STOP_TIME)
+        node.awaitTransactions(TRANSACTION_DRAIN_TIMEOUT)
+        nodes.stop(DRAIN_TIMEOUT)
         node.stop()
         operators.stop()
     }
@@ -113,9 +113,9 @@
         tokens = TokenCodec(keys.current, keys.previous),
         handles = TransactionHandleCodec(keys.current, keys.previous),
         limits = limits,
-        clock = parts.clock,
-        metrics = parts.metrics,
-        events = parts.events,
+        clock = dependencies.clock,
+        metrics = dependencies.metrics,
+        events = dependencies.events,
         newRequestId = { RequestId("${identity.vm}-${requestNumbers.incrementAndGet()}") },
     )
 
@@ -126,17 +126,17 @@
         },
         page = pages.today,
         status = pages.status,
-        metrics = parts.metrics,
+        metrics = dependencies.metrics,
     )
 
     private companion object {
         const val REQUEST_NUMBER_SHIFT = 16
         const val OPERATOR_WORKERS = 4
 
-        /** Time that the balancer has to see that the node is not ready. */
-        val NOTICE_TIME: Duration = 2.seconds
-        val STOP_TIME: Duration = 20.seconds
-        val OPERATOR_STOP_TIME: Duration = 1.seconds
-        val TRANSACTION_TIME: Duration = 10.seconds
+        /** Time within which the load balancer finds that the node is not ready. */
+        val READINESS_NOTICE_TIME: Duration = 2.seconds
+        val DRAIN_TIMEOUT: Duration = 20.seconds
+        val OPERATOR_DRAIN_TIMEOUT: Duration = 1.seconds
+        val TRANSACTION_DRAIN_TIMEOUT: Duration = 10.seconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeStatus.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeStatus.kt
@@ -3,15 +3,15 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** State of one database group as a node knows it. */
+/** Term and primary of a database group in the view of a node. */
 @Serializable
 internal data class GroupStatus(val database: String, val term: Long, val primary: String)
 
-/** State of one VM as a node knows it. */
+/** Condition of a VM in the view of a node. */
 @Serializable
 internal data class VmStatus(val vm: String, val dataCentre: String, val condition: String, val incarnation: Long)
 
-/** State of a node, for operators. */
+/** State of a node, shown to operators as JSON. */
 @Serializable
 internal data class NodeStatus(
     val vm: String,
@@ -24,7 +24,7 @@
     companion object {
         private val json = Json { prettyPrint = true }
 
-        /** Returns the state of [node] in JSON. */
+        /** Returns the current state of [node] in JSON. */
         fun of(node: ProxyNode): String {
             val fleet = node.fleet
             val status = NodeStatus(
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeThreads.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeThreads.kt
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * The threads of a node.
+ * Thread pools of a node.
  *
- * @property timer short tasks at their time; nothing on it blocks.
- * @property control calls for control that block up to their timeouts.
- * @property work relayed work that waits for slots and members.
+ * @property timer runs short scheduled tasks, which never block.
+ * @property control runs control calls, which block up to their timeouts.
+ * @property work runs relayed requests, which wait for slots and members.
  */
 internal class NodeThreads(vm: String, workers: Int) : AutoCloseable {
     val timer: ScheduledExecutorService = Executors.newScheduledThreadPool(TIMER_THREADS, named("$vm-timer"))
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/PlatformLoop.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/PlatformWatcher.kt
@@ -3,49 +3,49 @@
 import dev.kumquatknot.core.identity.VmName
 import dev.kumquatknot.core.platform.ListedVm
 import dev.kumquatknot.core.platform.ObjectStore
-import dev.kumquatknot.proxy.distribution.ConfigurationRunner
+import dev.kumquatknot.proxy.distribution.ConfigurationUpdater
 import kotlin.concurrent.thread
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Watches the platform on two threads: one waits for configurations, the other reads the list of VMs. The list is read
- * less often in a large fleet, so that the reads of all nodes together stay within the platform's rate.
+ * Watches the platform on two threads: one waits for new configurations, the other polls the list of VMs. The interval
+ * of the polls grows with the fleet, so that the reads of all nodes together stay within the platform's rate limit.
  */
-internal class PlatformLoop(
+internal class PlatformWatcher(
     private val vm: VmName,
     private val store: ObjectStore,
-    val configuration: ConfigurationRunner,
+    val configuration: ConfigurationUpdater,
     private val fleetSize: () -> Int,
     private val onList: (List<ListedVm>) -> Unit,
 ) {
     @Volatile
     private var running = false
-    private var loops: List<Thread> = emptyList()
+    private var threads: List<Thread> = emptyList()
 
-    /** Reads configuration and list once. */
+    /** Reads the configuration and the list of VMs once, in the calling thread. */
     fun readOnce() {
         configuration.readFromStore()
         store.vms().onRight(onList)
     }
 
-    /** Starts both threads. */
+    /** Starts the threads of both loops. */
     fun start() {
         running = true
-        loops = listOf(
-            thread(name = "$vm-configuration", isDaemon = true) { loop(::watchConfiguration) },
-            thread(name = "$vm-list", isDaemon = true) { loop(::readList) },
+        threads = listOf(
+            thread(name = "$vm-configuration", isDaemon = true) { runLoop(::watchConfiguration) },
+            thread(name = "$vm-list", isDaemon = true) { runLoop(::readList) },
         )
     }
 
-    /** Ends both threads. */
+    /** Interrupts the threads of both loops; does not wait for their end. */
     fun stop() {
         running = false
-        loops.forEach { it.interrupt() }
+        threads.forEach { it.interrupt() }
     }
 
-    private fun loop(step: () -> Duration) {
+    private fun runLoop(step: () -> Duration) {
         try {
             while (running) {
                 val pause = step()
@@ -57,7 +57,7 @@
     }
 
     private fun watchConfiguration(): Duration =
-        if (configuration.watchStore()) WATCH_PAUSE else ConfigurationRunner.RETRY_PAUSE
+        if (configuration.watchStore()) WATCH_INTERVAL else ConfigurationUpdater.RETRY_PAUSE
 
     private fun readList(): Duration {
         store.vms().onRight(onList)
@@ -65,13 +65,13 @@
     }
 
     companion object {
-        private val WATCH_PAUSE = 10.milliseconds
-        private val SHORTEST_LIST_INTERVAL = 1.seconds
-        private val LONGEST_LIST_INTERVAL = 2500.milliseconds
+        private val WATCH_INTERVAL = 10.milliseconds
+        private val MINIMUM_LIST_INTERVAL = 1.seconds
+        private val MAXIMUM_LIST_INTERVAL = 2500.milliseconds
         private const val LIST_READS_PER_SECOND = 250
 
-        /** Returns the time between two reads of the list by one of [nodes] nodes. */
+        /** Returns the time between two polls of the list by one node in a fleet of [nodes] nodes. */
         fun listInterval(nodes: Int): Duration =
-            (nodes.seconds / LIST_READS_PER_SECOND).coerceIn(SHORTEST_LIST_INTERVAL, LONGEST_LIST_INTERVAL)
+            (nodes.seconds / LIST_READS_PER_SECOND).coerceIn(MINIMUM_LIST_INTERVAL, MAXIMUM_LIST_INTERVAL)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -28,11 +28,11 @@
 import dev.kumquatknot.core.request.RequestFailure
 import dev.kumquatknot.core.request.Work
 import dev.kumquatknot.core.routing.Router
-import dev.kumquatknot.proxy.distribution.ConfigurationRunner
-import dev.kumquatknot.proxy.entry.DataCentreDistance
+import dev.kumquatknot.proxy.distribution.ConfigurationUpdater
+import dev.kumquatknot.proxy.entry.DataCentreLatency
 import dev.kumquatknot.proxy.entry.EntryService
-import dev.kumquatknot.proxy.entry.GroupTable
-import dev.kumquatknot.proxy.entry.ReadPlan
+import dev.kumquatknot.proxy.entry.GroupCache
+import dev.kumquatknot.proxy.entry.ReadPlanner
 import dev.kumquatknot.proxy.entry.Relay
 import dev.kumquatknot.proxy.entry.RetryPolicy
 import dev.kumquatknot.proxy.event.Event
@@ -62,30 +62,31 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * One node of the proxy without its servers: it serves callers' requests by [handle] and other nodes by [peerService].
- * It keeps its view of the fleet, the configuration in force, the members that it serves, and their groups' primaries.
+ * A node of the proxy without its servers: it serves requests of callers by [handle] and calls of other nodes by
+ * [peerService]. It maintains its view of the fleet, the configuration in force, the members that it serves and the
+ * primaries of their groups.
  */
-public class ProxyNode(private val identity: NodeIdentity, private val parts: NodeDependencies) {
-    private val clock = parts.clock
+public class ProxyNode(private val identity: NodeIdentity, private val dependencies: NodeDependencies) {
+    private val clock = dependencies.clock
     private val memberPorts = ConcurrentHashMap<MemberConfiguration, MemberPort>()
-    private val threads = NodeThreads(identity.vm.value, parts.workers)
+    private val threads = NodeThreads(identity.vm.value, dependencies.workers)
     private val holder = ConfigurationHolder()
-    private val groups = GroupTable(clock)
+    private val groups = GroupCache(clock)
     private val self =
         VmRecord(identity.vm, identity.dataCentre, identity.address, Membership.FIRST_INCARNATION, VmCondition.LIVE)
     private val membership = MembershipRunner(
         self = self,
-        peers = parts.peers,
+        peers = dependencies.peers,
         clock = clock,
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(parts.seed),
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(dependencies.seed),
         executor = threads.control,
-        events = parts.events,
+        events = dependencies.events,
         configurationNumber = { holder.current.number },
     )
-    private val hosts = MemberHosts(::memberPort, ::newRunner, clock, parts.events)
+    private val hosts = MemberHosts(::memberPort, ::newRunner, clock, dependencies.events)
     private val transactions = TransactionTable(
         clock = clock,
-        firstNumber = RandomSource.XO_RO_SHI_RO_128_PP.create(parts.seed).nextLong(1, Long.MAX_VALUE / 2),
+        firstNumber = RandomSource.XO_RO_SHI_RO_128_PP.create(dependencies.seed).nextLong(1, Long.MAX_VALUE / 2),
         onExpired = ::logExpired,
     )
     private val keyed = KeyedExecution(clock)
@@ -97,17 +98,19 @@
         TransactionExecution(transactions, writes, keyed, clock),
         clock,
     )
-    private val platform = PlatformLoop(
+    private val platform = PlatformWatcher(
         vm = identity.vm,
-        store = parts.store,
-        configuration = ConfigurationRunner(holder, parts.store, parts.peers, parts.events) { applyChanges() },
+        store = dependencies.store,
+        configuration = ConfigurationUpdater(holder, dependencies.store, dependencies.peers, dependencies.events) {
+            applyFleetChanges()
+        },
         fleetSize = { membership.view.usable.size },
-        onList = { list -> membership.listed(list, memberNames()) },
+        onList = { list -> membership.mergeListedVms(list, memberNames()) },
     )
     private val entry: EntryService
 
     @Volatile
-    private var ownership = Ownership.none(self)
+    private var gatewayAssignment = GatewayAssignment.none(self)
 
     @Volatile
     private var leaving = false
@@ -115,125 +118,125 @@
     init {
         val relay = Relay(
             self = identity.vm,
-            order = { ownership.order(it) },
-            serveLocally = ::serve,
-            peers = parts.peers,
+            gatewayOrder = { gatewayAssignment.gatewayCandidates(it) },
+            serveLocally = ::executeLocally,
+            peers = dependencies.peers,
             groups = groups,
             clock = clock,
-            onUnreachable = { vm -> membership.reportSilent(vm) },
+            onVmUnreachable = { vm -> membership.reportUnresponsive(vm) },
         )
         entry = EntryService(
             configuration = { holder.current },
             relay = relay,
-            planRead = newReadPlan()::plan,
+            planRead = newReadPlanner()::plan,
             findVm = { membership.view.record(it)?.takeIf { record -> record.condition != VmCondition.FAILED } },
             groups = groups,
             retries = RetryPolicy(groups, RetryBudget(), clock),
             clock = clock,
         )
-        membership.onChange = { applyChanges() }
-        membership.onPrimary = ::learnPrimary
+        membership.onChange = { applyFleetChanges() }
+        membership.onPrimary = ::acceptPrimary
         membership.onConfigurationNumber =
             { peer, _ -> threads.control.execute { platform.configuration.fetchFrom(peer) } }
     }
 
-    /** What other nodes may ask of this one. */
+    /** Service for calls of other nodes. */
     public val peerService: PeerService = NodePeerService()
 
-    /** The configuration in force. */
+    /** The configuration in force, which is empty until one is known. */
     public val configuration: FleetConfiguration get() = holder.current
 
-    /** The view of the fleet. */
+    /** Current view of the fleet. */
     public val fleet: Membership get() = membership.view
 
-    /** Whether the node takes new work: it has a configuration and is not leaving. */
+    /** Whether the node accepts new work: it has a configuration and is not leaving. */
     public val ready: Boolean get() = !leaving && holder.current.number > 0
 
     /** Number of interactive transactions whose connections this node holds. */
     public val openTransactions: Int get() = transactions.size
 
-    /** Serves one request of a caller; blocks until its final outcome. */
+    /** Serves a request of a caller; blocks until its final outcome. */
     public fun handle(request: CallerRequest): Either<RequestFailure, CallerReply> = entry.handle(request)
 
-    /** Returns what is known of [database]: its term and its primary, or null where none is known. */
+    /** Returns the last known primary of [database] with its term, or null if none is known. */
     public fun primary(database: DatabaseName): PrimaryRecord? = groups.group(database).let { known ->
         known.primary?.let { PrimaryRecord(database, known.term, it) }
     }
 
-    /** Returns the time for which the primary that was replaced last has not answered this node. */
-    internal fun gapOf(database: DatabaseName): Duration = hosts.lastGap(database)
+    /** Returns the time since the last answer of a replaced primary of [database], for the record of a failover. */
+    internal fun primarySilence(database: DatabaseName): Duration = hosts.longestSilence(database)
 
-    /** Returns the VMs that take new work. */
+    /** Returns the names of the VMs that accept new work. */
     internal fun usableVms(): Set<VmName> = membership.view.usable.map { it.name }.toSet()
 
-    /** Starts the node: joins the fleet, gets a configuration and begins to serve members. */
+    /** Starts the node: reads the configuration, joins the fleet and starts serving members. */
     public fun start() {
         platform.readOnce()
         identity.seeds.forEach { membership.join(it, VmName(it)) }
         platform.start()
-        every(MembershipRunner.PERIOD) { membership.runPeriod() }
-        every(MAINTENANCE_INTERVAL) {
+        scheduleEvery(MembershipRunner.PROBE_PERIOD) { membership.runPeriod() }
+        scheduleEvery(MAINTENANCE_INTERVAL) {
             hosts.maintain()
             transactions.expire()
         }
-        parts.events.log(Event.NODE_STARTED, "vm" to identity.vm.value, "configuration" to holder.current.number)
+        dependencies.events.log(Event.NODE_STARTED, "vm" to identity.vm.value, "configuration" to holder.current.number)
     }
 
-    /** Tells the fleet that this node takes no new work; it goes on with what it has. */
+    /** Announces to the fleet that this node accepts no new work; work in progress continues. */
     public fun leave() {
         leaving = true
-        parts.events.log(Event.NODE_STOPPING, "vm" to identity.vm.value)
+        dependencies.events.log(Event.NODE_STOPPING, "vm" to identity.vm.value)
         membership.leave()
     }
 
-    /** Waits at most [limit] for open interactive transactions; tells whether all have ended. */
+    /** Waits at most [limit] until no interactive transaction is open; returns whether all have ended. */
     public fun awaitTransactions(limit: Duration): Boolean {
         val until = clock.elapsed() + limit
         while (transactions.size > 0 && clock.elapsed() < until) Thread.sleep(DRAIN_POLL_MILLIS)
         return transactions.size == 0
     }
 
-    /** Closes all connections and ends all threads, whatever is still in flight. */
+    /** Closes all connections and stops all threads, also if requests are in flight. */
     public fun stop() {
         leaving = true
         platform.stop()
         hosts.close()
         threads.close()
-        parts.events.log(Event.NODE_STOPPED, "vm" to identity.vm.value)
+        dependencies.events.log(Event.NODE_STOPPED, "vm" to identity.vm.value)
     }
 
-    /** Executor of calls that other nodes make for control. */
+    /** Executor for control calls of other nodes. */
     internal val controlExecutor get() = threads.control
 
-    /** Executor of work that other nodes relay. */
+    /** Executor for requests that other nodes relay. */
     internal val workExecutor get() = threads.work
 
-    private fun newReadPlan(): ReadPlan {
-        val random = RandomSource.XO_RO_SHI_RO_128_PP.create(parts.seed + 1)
-        return ReadPlan(
+    private fun newReadPlanner(): ReadPlanner {
+        val random = RandomSource.XO_RO_SHI_RO_128_PP.create(dependencies.seed + 1)
+        return ReadPlanner(
             router = Router({ random.nextDouble() }),
-            distance = DataCentreDistance(identity.dataCentre) { holder.current.region(it) },
+            latency = DataCentreLatency(identity.dataCentre) { holder.current.region(it) },
             groups = groups,
             leaving = { membership.view.leavingMembers },
             clock = clock,
         )
     }
 
-    private fun serve(request: RelayRequest): RelayReply = work.execute(request)
+    private fun executeLocally(request: RelayRequest): RelayReply = work.execute(request)
 
-    private fun applyChanges() {
+    private fun applyFleetChanges() {
         val configuration = holder.current
-        val next = Ownership(configuration, membership.view)
-        ownership = next
+        val next = GatewayAssignment(configuration, membership.view)
+        gatewayAssignment = next
         membership.view.records.values
             .filter { it.condition == VmCondition.FAILED }
-            .forEach { parts.peers.forget(it.name) }
-        hosts.apply(configuration, next.membersOf(identity.vm))
-        parts.metrics.configurationInForce(configuration.number)
+            .forEach { dependencies.peers.forget(it.name) }
+        hosts.applyConfiguration(configuration, next.membersOf(identity.vm))
+        dependencies.metrics.configurationInForce(configuration.number)
     }
 
-    private fun learnPrimary(record: PrimaryRecord) {
-        groups.learn(record)
+    private fun acceptPrimary(record: PrimaryRecord) {
+        groups.recordPrimary(record)
         val view = GroupView(record.database, record.term, record.primary)
         hosts.runner(record.database)?.merge(view)
     }
@@ -243,12 +246,12 @@
             database = database,
             ports = GroupRunnerPorts(
                 members = ports,
-                askVantage = ::askVantage,
-                rank = { ownership.coordinatorRank(database, identity.vm) },
+                requestVantageReports = ::requestVantageReports,
+                rank = { gatewayAssignment.coordinatorRank(database, identity.vm) },
                 leaving = { membership.view.leavingMembers },
                 publish = { view, reason ->
-                    parts.onPromotion(view.database, view.term)
-                    parts.events.log(
+                    dependencies.onPromotion(view.database, view.term)
+                    dependencies.events.log(
                         Event.PROMOTION_WON,
                         "database" to view.database.value,
                         "term" to view.term.value,
@@ -259,13 +262,13 @@
             ),
             settings = GroupRunnerSettings(
                 vm = identity.vm,
-                incarnation = parts.seed,
-                timing = GroupTiming.forGroups(holder.current.databases.size.coerceAtMost(OBSERVED_GROUPS)),
+                incarnation = dependencies.seed,
+                timing = GroupTiming.forGroups(holder.current.databases.size.coerceAtMost(MAXIMUM_OBSERVED_GROUPS)),
             ),
             threads = GroupRunnerThreads(threads.timer, threads.control),
             clock = clock,
         )
-        runner.onView(::announce)
+        runner.addViewListener(::announce)
         membership.primary(database.name)?.let { runner.merge(GroupView(it.database, it.term, it.primary)) }
         return runner
     }
@@ -273,32 +276,32 @@
     private fun announce(view: GroupView) {
         val primary = view.primary ?: return
         val record = PrimaryRecord(view.database, view.term, primary)
-        groups.learn(record)
+        groups.recordPrimary(record)
         threads.control.execute {
             hosts.interruptSuperseded(view.database, primary)
             membership.announce(record)
         }
     }
 
-    private fun askVantage(database: DatabaseName, member: MemberName): List<VantageReport> {
+    private fun requestVantageReports(database: DatabaseName, member: MemberName): List<VantageReport> {
         val configured = holder.current.database(database) ?: return emptyList()
-        val gateways = configured.members.mapNotNull { ownership.gateway(it) }
-        val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(OTHER_VANTAGES)
-        val asked = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
-        return asked.mapNotNull { peer ->
-            parts.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
+        val gateways = configured.members.mapNotNull { gatewayAssignment.gateway(it) }
+        val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(REMOTE_VANTAGE_COUNT)
+        val queried = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
+        return queried.mapNotNull { peer ->
+            dependencies.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
                 .fold({ null }, { VantageReport(peer.name, it.heardAgo) })
         }
     }
 
-    /** Returns the one port of this node to [member], whose control connection all its uses share. */
+    /** Returns the client for [member], which is created once so that all uses share its control connection. */
     private fun memberPort(member: MemberConfiguration): MemberPort =
-        memberPorts.computeIfAbsent(member) { parts.memberPorts(it) }
+        memberPorts.computeIfAbsent(member) { dependencies.memberPorts(it) }
 
     private fun memberNames(): Set<MemberName> =
         holder.current.databases.flatMap { database -> database.members.map { it.name } }.toSet()
 
-    private fun every(interval: Duration, task: () -> Unit) {
+    private fun scheduleEvery(interval: Duration, task: () -> Unit) {
         threads.timer.scheduleWithFixedDelay(
             { threads.control.execute(task) },
             interval.inWholeMilliseconds,
@@ -307,7 +310,7 @@
         )
     }
 
-    private fun logExpired(transaction: OpenTransaction) = parts.events.log(
+    private fun logExpired(transaction: OpenTransaction) = dependencies.events.log(
         Event.TRANSACTION_ENDED,
         "transaction" to transaction.number,
         "team" to transaction.team.value,
@@ -316,31 +319,31 @@
 
     private inner class NodePeerService : PeerService {
         override fun execute(request: RelayRequest): RelayReply =
-            if (leaving && request.work.isNew) request.refusedByLeaving() else serve(request)
+            if (leaving && request.work.startsWork) request.refusedWhileLeaving() else executeLocally(request)
 
         override fun gossip(message: GossipMessage): GossipMessage = membership.receive(message)
 
         override fun probeIndirectly(name: VmName, address: String): Boolean {
             val target = self.copy(name = name, address = address)
             val probe = GossipMessage(membership.view.self, emptyList(), emptyList(), holder.current.number, false)
-            return parts.peers.gossip(target, probe, INDIRECT_PROBE_TIMEOUT).isRight()
+            return dependencies.peers.gossip(target, probe, INDIRECT_PROBE_TIMEOUT).isRight()
         }
 
         override fun configuration(known: Long): PeerConfiguration =
-            PeerConfiguration(holder.current.takeIf { it.number > known }, parts.sessionKeys)
+            PeerConfiguration(holder.current.takeIf { it.number > known }, dependencies.sessionKeys)
 
         override fun vantage(database: DatabaseName, member: MemberName): Vantage {
-            val heard = hosts.runner(database)?.vantage(member)?.heardAgo
-            if (heard != null) return Vantage(heard, Term(0))
+            val lastAnswerAge = hosts.runner(database)?.vantage(member)?.heardAgo
+            if (lastAnswerAge != null) return Vantage(lastAnswerAge, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
             return Vantage(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
         }
 
-        private val Work.isNew: Boolean
+        private val Work.startsWork: Boolean
             get() = this !is Work.Run && this !is Work.Commit && this !is Work.Rollback
 
-        private fun RelayRequest.refusedByLeaving() = RelayReply(
+        private fun RelayRequest.refusedWhileLeaving() = RelayReply(
             Failure(
                 reason = FailureReason.SHUTTING_DOWN,
                 effect = Effect.NOT_RUN,
@@ -358,8 +361,8 @@
         val VANTAGE_TIMEOUT = 400.milliseconds
         val VANTAGE_REPORT_TIMEOUT = 300.milliseconds
         val INDIRECT_PROBE_TIMEOUT = 500.milliseconds
-        const val OTHER_VANTAGES = 2
-        const val OBSERVED_GROUPS = 5
+        const val REMOTE_VANTAGE_COUNT = 2
+        const val MAXIMUM_OBSERVED_GROUPS = 5
         const val DRAIN_POLL_MILLIS = 20L
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
@@ -9,13 +9,13 @@
 import dev.kumquatknot.core.time.Clock
 import dev.kumquatknot.operations.today.DayRecorder
 
-/** Counts each request for today's page. */
+/** Records the outcome of each request for the page of the current day. */
 internal class RecordingHandler(
     private val handle: HandleRequest,
     private val recorder: DayRecorder,
     private val clock: Clock,
 ) {
-    /** Serves [request] and counts its outcome. */
+    /** Serves [request] and records its outcome and duration. */
     fun handle(request: CallerRequest): Either<RequestFailure, CallerReply> {
         val startedAt = clock.elapsed()
         return handle.invoke(request)
@@ -24,7 +24,7 @@
     }
 
     private fun record(request: CallerRequest, failed: RequestFailure) {
-        val told = failed.failure.reason == FailureReason.ABANDONED
-        if (told) recorder.settledAsNotRun(request) else recorder.failed(request, failed.failure)
+        val confirmedNotRun = failed.failure.reason == FailureReason.ABANDONED
+        if (confirmedNotRun) recorder.settledAsNotRun(request) else recorder.failed(request, failed.failure)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RunningNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RunningNode.kt
@@ -4,7 +4,7 @@
 import dev.kumquatknot.operations.today.SummaryPublisher
 import kotlin.concurrent.thread
 
-/** A node with its servers and the thread that publishes its figures for today's page. */
+/** A node with its servers and the thread that publishes its statistics for the page of the current day. */
 public class RunningNode internal constructor(
     vm: VmName,
     private val server: NodeServer,
@@ -12,19 +12,19 @@
 ) {
     private val publishing = thread(start = false, isDaemon = true, name = "$vm-summary") { publishUntilInterrupted() }
 
-    /** Port towards callers, once started. */
+    /** Port for callers; available after [start]. */
     public val callerPort: Int get() = server.callerPort
 
-    /** Port towards operators, once started. */
+    /** Port for operators; available after [start]. */
     public val operatorPort: Int get() = server.operatorPort
 
-    /** Starts to serve. */
+    /** Starts the servers and the publishing thread. */
     public fun start() {
         server.start()
         publishing.start()
     }
 
-    /** Stops gracefully and publishes the last figures. */
+    /** Stops the servers gracefully, then publishes the final statistics. */
     public fun stop() {
         server.stop()
         publishing.interrupt()
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/WorkService.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/WorkService.kt
@@ -21,10 +21,10 @@
 import dev.kumquatknot.proxy.work.WriteExecution
 import kotlin.time.Duration
 
-/** Finds or opens the host of a member on this VM; null where the configuration in force has no such member. */
+/** Returns or creates the host of a member on this VM; null if the configuration in force has no such member. */
 internal typealias FindHost = (database: DatabaseName, member: MemberName) -> MemberHost?
 
-/** Runs work at the members whose connections this VM holds. Never fails to answer before the deadline. */
+/** Runs requests at the members whose connections this VM holds. Every request is answered by its deadline. */
 internal class WorkService(
     private val findHost: FindHost,
     private val reads: ReadExecution,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
@@ -30,7 +30,7 @@
 )
 
 /**
- * Work on its way to the gateway of [member].
+ * Request that one VM sends to the gateway of [member].
  *
  * @property remaining time left until the caller's deadline.
  * @property catchUpTimeout longest time to wait for the member to become fresh enough.
@@ -51,7 +51,7 @@
 /**
  * Answer of a member.
  *
- * @property point what the session has now seen of the database group.
+ * @property point history point of the database group that the session has observed with this answer.
  * @property transaction number of the interactive transaction that was started, or null.
  */
 public data class RelayAnswer(
@@ -63,13 +63,13 @@
 )
 
 /**
- * What the gateway of a member knows of the member and its group.
+ * Status of a member and its group as observed by the gateway of the member.
  *
- * @property primary primary of [term], or null where none is known.
- * @property point last entry of the member, as last seen.
+ * @property primary primary of [term], or null if none is known.
+ * @property point last log entry of the member, as last observed.
  * @property wait mean time that work waited for a slot.
  * @property service mean time that the member took for one batch.
- * @property lag recent time that reads waited for the member to reach a point of their session.
+ * @property lag average time that recent reads waited until the member reached the point of their session.
  */
 public data class MemberStatus(
     val term: Term,
@@ -98,5 +98,5 @@
     }
 }
 
-/** Outcome of a [RelayRequest], with the [status] of the member that comes along with every answer. */
+/** Outcome of a [RelayRequest], with the [status] of the member that every reply carries. */
 public data class RelayReply(val result: Either<Failure, RelayAnswer>, val status: MemberStatus)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/CommittedNumbers.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/CommittedNumbers.kt
@@ -3,25 +3,25 @@
 import java.util.TreeSet
 
 /**
- * Numbers of transactions that may have committed. The lowest are forgotten, and then count as committed.
- * Thread-safe.
+ * Bounded set of the numbers of transactions that may have committed. When it is full, the lowest number is evicted;
+ * evicted numbers and all below them count as possibly committed. Thread-safe.
  */
-internal class CommittedNumbers(private val kept: Int = KEPT) {
+internal class CommittedNumbers(private val capacity: Int = DEFAULT_CAPACITY) {
     private val numbers = TreeSet<Long>()
-    private var forgottenThrough = Long.MIN_VALUE
+    private var highestEvicted = Long.MIN_VALUE
 
-    /** Adds [number]. */
+    /** Adds [number] and evicts the lowest numbers beyond the capacity. */
     @Synchronized
     fun add(number: Long) {
         numbers += number
-        while (numbers.size > kept) forgottenThrough = maxOf(forgottenThrough, checkNotNull(numbers.pollFirst()))
+        while (numbers.size > capacity) highestEvicted = maxOf(highestEvicted, checkNotNull(numbers.pollFirst()))
     }
 
-    /** Whether [number] has been added, or may have been. */
+    /** Returns false only if [number] has certainly not been added. */
     @Synchronized
-    fun mayContain(number: Long): Boolean = number <= forgottenThrough || number in numbers
+    fun mayContain(number: Long): Boolean = number <= highestEvicted || number in numbers
 
     private companion object {
-        const val KEPT = 10_000
+        const val DEFAULT_CAPACITY = 10_000
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionExecution.kt
@@ -26,16 +26,16 @@
 import dev.kumquatknot.proxy.relay.RelayRequest
 import dev.kumquatknot.proxy.work.Attempt
 import dev.kumquatknot.proxy.work.KeyedExecution
+import dev.kumquatknot.proxy.work.MEMBER_FAILURE_RETRY_AFTER
 import dev.kumquatknot.proxy.work.MemberHost
-import dev.kumquatknot.proxy.work.RETRY_AFTER_LOSS
 import dev.kumquatknot.proxy.work.WriteExecution
 import dev.kumquatknot.proxy.work.toFailure
 import dev.kumquatknot.proxy.work.toWorkItem
 import kotlin.time.Duration
 
 /**
- * Runs interactive transactions. A transaction keeps one connection in one term; whatever ends either ends it, and
- * then nothing of it stays, unless its commit was under way.
+ * Runs interactive transactions. A transaction is bound to one connection and one term. It is rolled back when either
+ * ends, unless its commit was in flight.
  */
 internal class TransactionExecution(
     private val table: TransactionTable,
@@ -43,10 +43,10 @@
     private val keyed: KeyedExecution,
     private val clock: Clock,
 ) {
-    /** Starts a transaction at the primary [host]. */
+    /** Opens a transaction at the primary [host] and returns its number. */
     fun begin(host: MemberHost, request: RelayRequest, deadline: Duration): Either<Failure, RelayAnswer> = either {
         val term = writes.primaryTerm(host).bind()
-        ensure(term >= request.needs.required.term) { request.behind(term) }
+        ensure(term >= request.needs.required.term) { request.termBehindSession(term) }
         if (request.needs.requiresConfirmedPrimary) awaitStanding(host, term, deadline)
         if (request.kind.repetition == Repetition.AT_MOST_ONCE) ensureRecordTable(host, request, term, deadline)
         val connection = host.gateway.pin(request.toWorkItem(deadline)).mapLeft { it.toFailure(Effect.NOT_RUN) }.bind()
@@ -68,7 +68,7 @@
 
     private fun Raise<Failure>.awaitStanding(host: MemberHost, term: Term, deadline: Duration) {
         val standing = host.group.awaitStanding(clock.elapsed(), deadline)
-        ensure(standing?.term == term) { host.notStanding() }
+        ensure(standing?.term == term) { host.primaryNotConfirmed() }
     }
 
     private fun Raise<Failure>.ensureRecordTable(
@@ -88,15 +88,15 @@
         request: RelayRequest,
         statements: List<Statement>,
         deadline: Duration,
-    ): Either<Failure, RelayAnswer> = using(number, request) { transaction ->
+    ): Either<Failure, RelayAnswer> = withTransaction(number, request) { transaction ->
         val result = transaction.send(request, statements, BatchEnd.KEEP_OPEN, deadline)
         if (result.isLeft { it.endsTransaction }) end(transaction, clean = false)
         result.map { RelayAnswer(it.results, request.needs.required, MemberRole.PRIMARY) }
     }
 
     /**
-     * Commits the transaction [number] and waits for its confirmation. A repetition with the same key gets the first
-     * answer, from the record at the primary [host].
+     * Commits the transaction [number] and waits for its confirmation. A repetition with the same key returns the first
+     * answer from the record at the primary [host].
      */
     fun commit(
         host: MemberHost,
@@ -104,7 +104,7 @@
         request: RelayRequest,
         deadline: Duration,
     ): Either<Failure, RelayAnswer> {
-        val committed = using(number, request) { commitOpen(it, request, deadline) }
+        val committed = withTransaction(number, request) { commitOpen(it, request, deadline) }
         val failure = committed.leftOrNull()
         if (request.key != null && failure != null && failure.mayBeRepetition) {
             return writes.resolve(host, request, deadline, statements = emptyList())
@@ -126,23 +126,26 @@
         return result.map { transaction.host to it }
     }
 
-    /** The transaction has ended, or its record met another one: the key tells what became of the first commit. */
+    /**
+     * Whether the commit may repeat an earlier one: the transaction has ended already or its record violates the unique
+     * key. The record of the key then gives the outcome of the first commit.
+     */
     private val Failure.mayBeRepetition: Boolean
         get() = reason == FailureReason.TRANSACTION_ENDED || reason == FailureReason.STATEMENT_FAILED
 
-    /** Rolls the transaction [number] back. */
+    /** Rolls back the transaction [number] and returns its connection to the pool. */
     fun rollback(number: Long, request: RelayRequest, deadline: Duration): Either<Failure, RelayAnswer> =
-        using(number, request) { transaction ->
+        withTransaction(number, request) { transaction ->
             val result = transaction.send(request, emptyList(), BatchEnd.ROLLBACK, deadline)
             end(transaction, clean = result.isRight())
             RelayAnswer(emptyList(), request.needs.required, MemberRole.PRIMARY).right()
         }
 
     private fun RelayRequest.recordStatements(): List<Statement> {
-        val given = key ?: return emptyList()
+        val idempotencyKey = key ?: return emptyList()
         return listOf(
-            IdempotencyRecord.insert(team, given, emptyList(), clock.instant()),
-            IdempotencyRecord.complete(team, given, emptyList()),
+            IdempotencyRecord.insert(team, idempotencyKey, emptyList(), clock.instant()),
+            IdempotencyRecord.complete(team, idempotencyKey, emptyList()),
         )
     }
 
@@ -153,61 +156,62 @@
         deadline: Duration,
     ): Either<Failure, BatchReply> {
         val batch = StatementBatch(request.id, term, readOnly = false, statements = statements, end = end)
-        val unanswered = if (end == BatchEnd.COMMIT) Effect.UNKNOWN else Effect.NOT_RUN
-        return connection.execute(request.toWorkItem(deadline), host.learning(batch, Duration.INFINITE))
-            .mapLeft { it.toFailure(unanswered) }
+        val effectIfUnanswered = if (end == BatchEnd.COMMIT) Effect.UNKNOWN else Effect.NOT_RUN
+        return connection.execute(request.toWorkItem(deadline), host.observedBatch(batch, Duration.INFINITE))
+            .mapLeft { it.toFailure(effectIfUnanswered) }
     }
 
-    /** Whether the member has rolled the transaction back or the connection is lost; a refusal leaves it open. */
+    /** Whether the transaction was rolled back or its connection lost; a refusal at admission leaves it open. */
     private val Failure.endsTransaction: Boolean get() = step != Step.ADMIT
 
     private fun end(transaction: OpenTransaction, clean: Boolean) {
         if (table.remove(transaction)) transaction.connection.release(clean)
     }
 
-    private fun <T> using(
+    private fun <T> withTransaction(
         number: Long,
         request: RelayRequest,
         action: (OpenTransaction) -> Either<Failure, T>,
     ): Either<Failure, T> {
-        val transaction = table.find(number, request.team, request.database) ?: return request.ended(number).left()
-        if (!transaction.lock.tryLock()) return request.busy(number).left()
+        val transaction =
+            table.find(number, request.team, request.database) ?: return request.alreadyEnded(number).left()
+        if (!transaction.lock.tryLock()) return request.alreadyInUse(number).left()
         try {
-            if (table.find(number, request.team, request.database) == null) return request.ended(number).left()
+            if (table.find(number, request.team, request.database) == null) return request.alreadyEnded(number).left()
             return action(transaction).also { transaction.lastUsedAt = clock.elapsed() }
         } finally {
             transaction.lock.unlock()
         }
     }
 
-    private fun RelayRequest.behind(term: Term) = Failure(
+    private fun RelayRequest.termBehindSession(term: Term) = Failure(
         reason = FailureReason.SUPERSEDED,
         effect = Effect.NOT_RUN,
         step = Step.ROUTE,
         peer = Peer.Member(member),
         detail = "the session has seen term ${needs.required.term}; member $member is known as primary of term $term",
-        retryAfter = RETRY_AFTER_LOSS,
+        retryAfter = MEMBER_FAILURE_RETRY_AFTER,
     )
 
-    private fun MemberHost.notStanding() = Failure(
+    private fun MemberHost.primaryNotConfirmed() = Failure(
         reason = FailureReason.NO_PRIMARY,
         effect = Effect.NOT_RUN,
         step = Step.ROUTE,
         peer = Peer.Member(name),
         detail = "no majority was seen to follow member $name in time",
-        retryAfter = RETRY_AFTER_LOSS,
+        retryAfter = MEMBER_FAILURE_RETRY_AFTER,
     )
 
-    private fun RelayRequest.ended(number: Long) = Failure(
+    private fun RelayRequest.alreadyEnded(number: Long) = Failure(
         reason = FailureReason.TRANSACTION_ENDED,
         effect = if (work is Work.Commit && table.mayHaveCommitted(number)) Effect.UNKNOWN else Effect.NOT_RUN,
         step = Step.EXECUTE,
         peer = Peer.Local,
         detail = "transaction $number has ended: committed, rolled back, or idle for more than " +
-            "${TransactionTable.IDLE_LIMIT}",
+            "${TransactionTable.IDLE_TIMEOUT}",
     )
 
-    private fun RelayRequest.busy(number: Long) = Failure(
+    private fun RelayRequest.alreadyInUse(number: Long) = Failure(
         reason = FailureReason.INVALID_REQUEST,
         effect = if (work is Work.Commit) Effect.UNKNOWN else Effect.NOT_RUN,
         step = Step.EXECUTE,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionTable.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/transaction/TransactionTable.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** An interactive transaction that is open on one connection of one member in one term. */
+/** An open interactive transaction, bound to one connection of one member and to one term. */
 internal class OpenTransaction(
     val number: Long,
     val team: TeamName,
@@ -24,21 +24,21 @@
     val connection: PinnedConnection,
     val startedAt: Duration,
 ) {
-    /** Held by the one request that uses the transaction. */
+    /** Held by the request that uses the transaction at the moment. */
     val lock = ReentrantLock()
 
     @Volatile
     var lastUsedAt: Duration = startedAt
 
-    /** Whether a statement has been sent, so that the member has a transaction to end. Guarded by [lock]. */
+    /** Whether a statement was sent, so that a transaction is open at the member. Guarded by [lock]. */
     var begun: Boolean = false
 }
 
 /**
- * The interactive transactions whose connections this VM holds. Transactions that idle or last too long are ended, so
- * that they keep neither connections nor locks of the member.
+ * Interactive transactions whose connections this VM holds. Transactions that are idle or open for too long are rolled
+ * back, so that they don't occupy connections and locks of the member.
  *
- * Lock order: the lock of one transaction, then those of its member's gateway.
+ * Lock order: the lock of a transaction, then the locks of its member's gateway.
  */
 internal class TransactionTable(
     private val clock: Clock,
@@ -49,39 +49,39 @@
     private val numbers = AtomicLong(firstNumber - 1)
     private val committed = CommittedNumbers()
 
-    /** Number of open transactions. */
+    /** Number of open transactions, in use or idle. */
     val size: Int get() = open.size
 
-    /** Returns a number for a new transaction. */
+    /** Returns the number for the next transaction, never used before by this table. */
     fun nextNumber(): Long = numbers.incrementAndGet()
 
-    /** Adds a transaction. */
+    /** Registers an open transaction under its number. */
     fun add(transaction: OpenTransaction) {
         open[transaction.number] = transaction
     }
 
-    /** Returns the transaction [number] of [team] in [database], or null where it has ended or never was. */
+    /** Returns the open transaction [number] of [team] in [database], or null if there is none. */
     fun find(number: Long, team: TeamName, database: DatabaseName): OpenTransaction? =
         open[number]?.takeIf { it.team == team && it.database == database }
 
-    /** Notes that a commit of the transaction [number] took effect or may have. */
+    /** Records that a commit of the transaction [number] has or may have taken effect. */
     fun recordCommit(number: Long) = committed.add(number)
 
-    /** Whether the transaction [number], which is not open, may have committed; false is a proof. */
+    /** Returns false only if the transaction [number], which is no longer open, has certainly not committed. */
     fun mayHaveCommitted(number: Long): Boolean =
         number < firstNumber || number > numbers.get() || committed.mayContain(number)
 
-    /** Removes a transaction; tells whether it was still there. */
+    /** Removes a transaction; returns false if it had been removed before. */
     fun remove(transaction: OpenTransaction): Boolean = open.remove(transaction.number, transaction)
 
-    /** Ends the transactions that have idled or lasted too long and are not in use at this moment. */
+    /** Rolls back the transactions that exceed a timeout, except those that a request is using at the moment. */
     fun expire() {
         val now = clock.elapsed()
-        open.values.filter { it.isOverdue(now) }.forEach { endIfUnused(it) }
+        open.values.filter { it.isExpired(now) }.forEach { endIfUnused(it) }
     }
 
-    private fun OpenTransaction.isOverdue(now: Duration): Boolean =
-        now - lastUsedAt >= IDLE_LIMIT || now - startedAt >= TOTAL_LIMIT
+    private fun OpenTransaction.isExpired(now: Duration): Boolean =
+        now - lastUsedAt >= IDLE_TIMEOUT || now - startedAt >= TOTAL_TIMEOUT
 
     private fun endIfUnused(transaction: OpenTransaction) {
         if (!transaction.lock.tryLock()) return
@@ -95,10 +95,10 @@
     }
 
     companion object {
-        /** Longest time between two statements of a transaction. */
-        val IDLE_LIMIT: Duration = 5.seconds
+        /** Longest time between two requests of a transaction. */
+        val IDLE_TIMEOUT: Duration = 5.seconds
 
-        /** Longest time that a transaction may take. */
-        val TOTAL_LIMIT: Duration = 60.seconds
+        /** Longest time for which a transaction may stay open. */
+        val TOTAL_TIMEOUT: Duration = 60.seconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/Attempt.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/Attempt.kt
@@ -19,22 +19,22 @@
     val term: Term,
     private val deadline: Duration,
 ) {
-    /** Returns what admission has to know. */
-    fun item() = request.toWorkItem(deadline)
+    /** Returns the description of this request for admission. */
+    fun workItem() = request.toWorkItem(deadline)
 
-    /** Returns a batch of this request and term. */
+    /** Returns a batch of this request that is bound to [term]. */
     fun batch(statements: List<Statement>, end: BatchEnd) =
         StatementBatch(request.id, term, readOnly = false, statements = statements, end = end)
 
-    /** Runs [statements] in a transaction of their own. */
+    /** Runs [statements] in one transaction and commits it. */
     fun run(statements: List<Statement>): Either<GatewayFailure, BatchReply> =
-        host.runBatch(item(), batch(statements, BatchEnd.COMMIT), request.patience)
+        host.runBatch(workItem(), batch(statements, BatchEnd.COMMIT), request.replyTimeout)
 }
 
 /**
- * A transaction that has committed at the primary and is to be confirmed.
+ * A transaction that has committed at the primary and still needs the confirmation of a majority.
  *
- * @property repeated whether it committed for an earlier request with the same key.
+ * @property repeated whether it was committed by an earlier request with the same idempotency key.
  */
 internal class CommittedWork(
     val results: List<StatementResult>,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/CatchUpMonitor.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/CatchUpMonitor.kt
@@ -11,55 +11,58 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Waits for a member to reach a point. Of all threads that wait, one at a time asks the member for its report; the
- * others learn from it. Lock order: this lock is never held during a call or while another lock is taken.
+ * Lets threads wait until a member reaches a point. Only one of the waiting threads polls the member at a time; its
+ * results are shared with the others. The lock is held neither during a call nor while another lock is acquired.
  */
 internal class CatchUpMonitor(private val port: MemberPort, private val group: GroupRunner, private val clock: Clock) {
     private val lock = ReentrantLock()
     private val advanced = lock.newCondition()
-    private var highest = HistoryPoint.START
+    private var highestPoint = HistoryPoint.START
     private var polling = false
     private var averageLag = INITIAL_LAG
 
-    /** Highest point that the member was seen to hold. A member that discards its tail is seen through its replies. */
-    val known: HistoryPoint get() = lock.withLock { highest }
+    /**
+     * Highest point that the member has been observed to hold. It does not decrease when the member discards the end of
+     * its log; the points in its replies show that.
+     */
+    val observedPoint: HistoryPoint get() = lock.withLock { highestPoint }
 
-    /** Recent time that reads waited for the member. */
+    /** Moving average of the time that reads waited for the member. */
     val lag: Duration get() = lock.withLock { averageLag }
 
-    /** Learns that the member holds [point]. */
+    /** Records that the member holds [point]. */
     fun observe(point: HistoryPoint) = lock.withLock {
-        if (point > highest) {
-            highest = point
+        if (point > highestPoint) {
+            highestPoint = point
             advanced.signalAll()
         }
     }
 
-    /** Waits until the member holds [required], at most until [until]; tells whether it does. */
+    /** Blocks until the member holds [required], at most until [until]; returns whether it does. */
     fun await(required: HistoryPoint, until: Duration): Boolean {
         observe(group.view().pointOf(port.member))
         val startedAt = clock.elapsed()
-        if (known.covers(required)) return true
+        if (observedPoint.covers(required)) return true
         val reached = awaitReached(required, until)
         recordWait(clock.elapsed() - startedAt, reached)
         return reached
     }
 
     private fun recordWait(waited: Duration, reached: Boolean) = lock.withLock {
-        val sample = if (reached) waited else waited * UNREACHED_FACTOR
-        averageLag = averageLag * (1 - WEIGHT) + sample * WEIGHT
+        val sample = if (reached) waited else waited * UNREACHED_WAIT_FACTOR
+        averageLag = averageLag * (1 - LAG_SAMPLE_WEIGHT) + sample * LAG_SAMPLE_WEIGHT
     }
 
     private fun awaitReached(required: HistoryPoint, until: Duration): Boolean {
         while (true) {
             val mayPoll = lock.withLock {
-                if (highest.covers(required)) return true
-                val left = until - clock.elapsed()
-                if (left <= Duration.ZERO) return false
-                if (polling) advanced.await(minOf(left, POLL_INTERVAL).inWholeNanoseconds, TimeUnit.NANOSECONDS)
-                val free = !polling
-                if (free) polling = true
-                free
+                if (highestPoint.covers(required)) return true
+                val remaining = until - clock.elapsed()
+                if (remaining <= Duration.ZERO) return false
+                if (polling) advanced.await(minOf(remaining, POLL_INTERVAL).inWholeNanoseconds, TimeUnit.NANOSECONDS)
+                val mayStartPoll = !polling
+                if (mayStartPoll) polling = true
+                mayStartPoll
             }
             if (mayPoll) poll(required, until)
         }
@@ -70,9 +73,9 @@
             port.report(REPORT_TIMEOUT).onRight { observe(it.lastEntry) }
         } finally {
             lock.withLock {
-                val left = until - clock.elapsed()
-                if (!highest.covers(required) && left > Duration.ZERO) {
-                    advanced.await(minOf(left, POLL_INTERVAL).inWholeNanoseconds, TimeUnit.NANOSECONDS)
+                val remaining = until - clock.elapsed()
+                if (!highestPoint.covers(required) && remaining > Duration.ZERO) {
+                    advanced.await(minOf(remaining, POLL_INTERVAL).inWholeNanoseconds, TimeUnit.NANOSECONDS)
                 }
                 polling = false
                 advanced.signalAll()
@@ -81,11 +84,11 @@
     }
 
     private companion object {
-        /** Time between two reports while work waits. */
+        /** Time between two polls of the member while requests wait. */
         val POLL_INTERVAL = 4.milliseconds
         val REPORT_TIMEOUT = 200.milliseconds
         val INITIAL_LAG = 30.milliseconds
-        const val WEIGHT = 0.2
-        const val UNREACHED_FACTOR = 2.0
+        const val LAG_SAMPLE_WEIGHT = 0.2
+        const val UNREACHED_WAIT_FACTOR = 2.0
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/Failures.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/Failures.kt
@@ -11,16 +11,16 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Time after which a caller may come back when a member could not be reached or has no primary. */
-internal val RETRY_AFTER_LOSS: Duration = 500.milliseconds
+/** Time after which a caller may retry when a member was unreachable or its group has no primary. */
+internal val MEMBER_FAILURE_RETRY_AFTER: Duration = 500.milliseconds
 
 /**
- * Translates a failure of a gateway for the caller.
+ * Converts a failure of a gateway to the failure that the caller receives.
  *
- * @param unanswered what a missing answer says of the effect: [Effect.UNKNOWN] where the batch could commit,
- * [Effect.NOT_RUN] where its transaction is rolled back with the connection.
+ * @param effectIfUnanswered effect to report if the member did not answer: [Effect.UNKNOWN] if the batch could commit,
+ * [Effect.NOT_RUN] if its transaction is rolled back with the connection.
  */
-internal fun GatewayFailure.toFailure(unanswered: Effect): Failure = when (this) {
+internal fun GatewayFailure.toFailure(effectIfUnanswered: Effect): Failure = when (this) {
     is GatewayFailure.Refused -> Failure(
         reason = reason.toFailureReason(),
         effect = Effect.NOT_RUN,
@@ -38,7 +38,7 @@
         detail = "no connection to member $member came free before the deadline",
         retryAfter = retryAfter,
     )
-    is GatewayFailure.GivenUp -> Failure(
+    is GatewayFailure.NotServed -> Failure(
         reason = FailureReason.SHUTTING_DOWN,
         effect = Effect.NOT_RUN,
         step = Step.ADMIT,
@@ -46,7 +46,7 @@
         detail = "this VM no longer serves member $member",
         retryAfter = Duration.ZERO,
     )
-    is GatewayFailure.Failed -> failure.toFailure(unanswered)
+    is GatewayFailure.Failed -> failure.toFailure(effectIfUnanswered)
 }
 
 private fun RefusalReason.toFailureReason(): FailureReason = when (this) {
@@ -55,13 +55,13 @@
     RefusalReason.DEADLINE_PASSED -> FailureReason.DEADLINE_PASSED
 }
 
-private fun MemberFailure.toFailure(unanswered: Effect): Failure = Failure(
+private fun MemberFailure.toFailure(effectIfUnanswered: Effect): Failure = Failure(
     reason = toFailureReason(),
-    effect = if (this is MemberFailure.NoAnswer) unanswered else Effect.NOT_RUN,
+    effect = if (this is MemberFailure.NoAnswer) effectIfUnanswered else Effect.NOT_RUN,
     step = step,
     peer = Peer.Member(member),
     detail = detail,
-    retryAfter = RETRY_AFTER_LOSS.takeIf { this !is MemberFailure.StatementFailed },
+    retryAfter = MEMBER_FAILURE_RETRY_AFTER.takeIf { this !is MemberFailure.StatementFailed },
 )
 
 private fun MemberFailure.toFailureReason(): FailureReason = when (this) {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/KeyedExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/KeyedExecution.kt
@@ -23,11 +23,11 @@
 import kotlin.time.Duration
 
 /**
- * Runs work with an idempotency key: the work and its record commit in one transaction, and a repetition finds the
- * record and gets the first answer.
+ * Runs work with an idempotency key. The work and a record of its answer commit in one transaction; a repetition finds
+ * the record and returns the first answer.
  */
 internal class KeyedExecution(private val clock: Clock) {
-    /** Runs [statements] unless work with [key] has committed before. */
+    /** Runs [statements], or returns the recorded answer if work with [key] has committed before. */
     fun execute(
         attempt: Attempt,
         key: IdempotencyKey,
@@ -41,17 +41,17 @@
             }
             when (val found = lookup(attempt, key, statements).bind()) {
                 is FoundRecord.Same -> return@either found.work
-                FoundRecord.Other -> raise(attempt.keyReused(key))
+                FoundRecord.Other -> raise(attempt.keyReusedFailure(key))
                 FoundRecord.Absent -> conflict.failure?.let { raise(it.toFailure(Effect.NOT_RUN)) }
-                is FoundRecord.Abandoned -> raise(attempt.abandoned(key))
+                is FoundRecord.Abandoned -> raise(attempt.abandonedFailure(key))
             }
         }
-        raise(attempt.contended(key))
+        raise(attempt.contendedFailure(key))
     }
 
     /**
-     * Finds the outcome of the work that carried [key]. Where there is no record, it closes the key to all attempts
-     * under way, so that the answer "not run" stays true.
+     * Determines the outcome of the work with [key]. If there is no record, it inserts one that blocks the key for all
+     * attempts in flight, so that the answer "not run" stays true.
      */
     fun resolve(
         attempt: Attempt,
@@ -62,7 +62,7 @@
             when (val found = lookup(attempt, key, statements).bind()) {
                 is FoundRecord.Same -> return@either ResolvedWork.Ran(found.work)
                 is FoundRecord.Abandoned -> return@either ResolvedWork.NotRun(found.point)
-                FoundRecord.Other -> raise(attempt.keyReused(key, Step.RESOLVE))
+                FoundRecord.Other -> raise(attempt.keyReusedFailure(key, Step.RESOLVE))
                 FoundRecord.Absent -> Unit
             }
             val abandon = IdempotencyRecord.abandon(attempt.request.team, key, clock.instant())
@@ -76,10 +76,10 @@
                 { return@either ResolvedWork.NotRun(it.point) },
             )
         }
-        raise(attempt.contended(key))
+        raise(attempt.contendedFailure(key))
     }
 
-    /** Makes sure that the table of records exists, for work whose record is written in a transaction of its caller. */
+    /** Creates the table of records if missing, for work whose record is written in an interactive transaction. */
     fun ensureTable(attempt: Attempt): Either<Failure, Unit> = either { createTable(attempt) }
 
     private fun Raise<Failure>.runWithRecord(
@@ -88,23 +88,25 @@
         insert: Statement,
         statements: List<Statement>,
     ): RecordResult {
-        val result = attempt.host.gateway.execute(attempt.item()) { connection, timeout ->
-            runOn(connection, timeout, attempt, key, listOf(insert) + statements)
+        val result = attempt.host.gateway.execute(attempt.workItem()) { connection, timeout ->
+            runWithRecordOn(connection, timeout, attempt, key, listOf(insert) + statements)
         }
         return result.fold(
             { failure ->
                 when {
                     failure.isUniqueViolation() -> RecordResult.Conflict(failure)
                     failure.isMissingTable() -> createTable(attempt).let { RecordResult.Conflict(null) }
-                    else -> raise(failure.toFailure(unanswered = Effect.NOT_RUN))
+                    else -> raise(failure.toFailure(effectIfUnanswered = Effect.NOT_RUN))
                 }
             },
-            { end -> end.fold({ raise(GatewayFailure.Failed(it).toFailure(unanswered = Effect.UNKNOWN)) }, { it }) },
+            { end ->
+                end.fold({ raise(GatewayFailure.Failed(it).toFailure(effectIfUnanswered = Effect.UNKNOWN)) }, { it })
+            },
         )
     }
 
-    /** Inserts the record and runs the work, then the record's answer with the commit. */
-    private fun runOn(
+    /** Inserts the record and runs the work in one batch, then stores the answer in the record and commits. */
+    private fun runWithRecordOn(
         connection: MemberConnection,
         timeout: Duration,
         attempt: Attempt,
@@ -113,14 +115,14 @@
     ): Either<MemberFailure, Either<MemberFailure, RecordResult>> = either {
         val startedAt = clock.elapsed()
         val begin = attempt.batch(recordAndWork, BatchEnd.KEEP_OPEN)
-        val opened = attempt.host.learning(begin, attempt.request.patience)(connection, timeout).bind()
-        val left = timeout - (clock.elapsed() - startedAt)
+        val opened = attempt.host.observedBatch(begin, attempt.request.replyTimeout)(connection, timeout).bind()
+        val remaining = timeout - (clock.elapsed() - startedAt)
         val answers = opened.results.drop(1)
         val complete = IdempotencyRecord.complete(attempt.request.team, key, answers)
-        attempt.host.learning(
+        attempt.host.observedBatch(
             attempt.batch(listOf(complete), BatchEnd.COMMIT),
-            attempt.request.patience,
-        )(connection, left).fold(
+            attempt.request.replyTimeout,
+        )(connection, remaining).fold(
             { it.left() },
             { RecordResult.Committed(CommittedWork(answers, it.point)).right() },
         )
@@ -153,7 +155,7 @@
 
     private fun GatewayFailure.isMissingTable(): Boolean = sqlState() in IdempotencyRecord.missingTableStates
 
-    private fun Attempt.keyReused(key: IdempotencyKey, step: Step = Step.EXECUTE) = Failure(
+    private fun Attempt.keyReusedFailure(key: IdempotencyKey, step: Step = Step.EXECUTE) = Failure(
         reason = FailureReason.KEY_REUSED,
         effect = Effect.NOT_RUN,
         step = step,
@@ -161,7 +163,7 @@
         detail = "key \"${key.value}\" has been used for other work",
     )
 
-    private fun Attempt.abandoned(key: IdempotencyKey) = Failure(
+    private fun Attempt.abandonedFailure(key: IdempotencyKey) = Failure(
         reason = FailureReason.ABANDONED,
         effect = Effect.NOT_RUN,
         step = Step.EXECUTE,
@@ -169,19 +171,19 @@
         detail = "a question for the outcome of key \"${key.value}\" has closed it; send the work with a new key",
     )
 
-    private fun Attempt.contended(key: IdempotencyKey) = Failure(
+    private fun Attempt.contendedFailure(key: IdempotencyKey) = Failure(
         reason = FailureReason.OVERLOADED,
         effect = Effect.NOT_RUN,
         step = Step.EXECUTE,
         peer = Peer.Member(host.name),
         detail = "other attempts with key \"${key.value}\" are under way",
-        retryAfter = RETRY_AFTER_LOSS,
+        retryAfter = MEMBER_FAILURE_RETRY_AFTER,
     )
 
     private sealed interface RecordResult {
         class Committed(val work: CommittedWork) : RecordResult
 
-        /** The record could not be inserted; [failure] is the violation of a unique key, if there was one. */
+        /** The record was not inserted; [failure] is the unique violation, or null if the table was missing. */
         class Conflict(val failure: GatewayFailure?) : RecordResult
     }
 
@@ -200,9 +202,9 @@
     }
 }
 
-/** Outcome of work of which only the key is known. */
+/** Outcome of work that was looked up by its key. */
 internal sealed interface ResolvedWork {
-    /** Point that must be confirmed before the outcome is told. */
+    /** Point that a majority must confirm before the outcome is reported. */
     val point: HistoryPoint
 
     class Ran(val work: CommittedWork) : ResolvedWork {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/MemberHost.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/MemberHost.kt
@@ -18,9 +18,9 @@
 import kotlin.time.Duration
 
 /**
- * One member as this VM serves it: its connections and queue, and the observation of its group.
+ * A member that this VM serves, with its connections, its admission queue and the observation of its group.
  *
- * @property port the member itself, for reports outside the queue.
+ * @property port client of the member, for reports that bypass the admission queue.
  */
 public class MemberHost(
     public val database: DatabaseConfiguration,
@@ -30,26 +30,26 @@
     public val group: GroupRunner,
     private val clock: Clock,
 ) {
-    /** Term in which the table of idempotency records was last seen to exist, or null. */
+    /** Term in which the table of idempotency records was last found to exist, or null. */
     @Volatile
     internal var recordTableTerm: Term? = null
 
     internal val catchUpMonitor = CatchUpMonitor(port, group, clock)
 
-    /** Name of the member. */
+    /** Name of the member from its configuration. */
     public val name: MemberName get() = member.name
 
-    /** Whether the member is the primary, as far as this VM knows. */
+    /** Whether the member is the primary in the current view of this VM, which may be outdated. */
     public val isPrimary: Boolean get() = group.view().primary == name
 
-    /** What this VM tells others of the member. */
+    /** Returns the status of the member that is sent to other VMs with every answer. */
     public fun status(): MemberStatus {
         val view = group.view()
         val load = gateway.load
         return MemberStatus(
             term = view.term,
             primary = view.primary,
-            point = maxOf(catchUpMonitor.known, view.pointOf(name)),
+            point = maxOf(catchUpMonitor.observedPoint, view.pointOf(name)),
             wait = load.queue.wait,
             service = load.queue.serviceTime,
             inFlight = load.queue.inFlight,
@@ -59,21 +59,21 @@
         )
     }
 
-    /** Runs [batch] on a connection of its own and learns from the reply. */
+    /** Runs [batch] on a pooled connection and records the state that its reply reports. */
     internal fun runBatch(
         item: WorkItem,
         batch: StatementBatch,
-        patience: Duration,
-    ): Either<GatewayFailure, BatchReply> = gateway.execute(item, learning(batch, patience))
+        replyTimeout: Duration,
+    ): Either<GatewayFailure, BatchReply> = gateway.execute(item, observedBatch(batch, replyTimeout))
 
-    /** An action that runs [batch], waits at most [patience] for its reply and learns from it. */
-    internal fun learning(batch: StatementBatch, patience: Duration): MemberAction<BatchReply> =
+    /** Returns an action that runs [batch], waits at most [replyTimeout] and records the state in its reply. */
+    internal fun observedBatch(batch: StatementBatch, replyTimeout: Duration): MemberAction<BatchReply> =
         { connection, timeout ->
             val sentAt = clock.elapsed()
-            connection.run(batch, minOf(timeout, patience)).onRight { learn(sentAt, it) }
+            connection.run(batch, minOf(timeout, replyTimeout)).onRight { observeReply(sentAt, it) }
         }
 
-    private fun learn(sentAt: Duration, reply: BatchReply) {
+    private fun observeReply(sentAt: Duration, reply: BatchReply) {
         group.observeReply(name, sentAt, reply)
         catchUpMonitor.observe(reply.point)
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/ReadExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/ReadExecution.kt
@@ -25,16 +25,16 @@
 import kotlin.time.Duration
 
 /**
- * Runs a read at a member. The answer is checked against the needs of the request after it has come, so that stale
- * knowledge of the member costs time and never freshness.
+ * Runs a read at a member. The answer is checked against the freshness requirements of the request after it has
+ * arrived, so that an outdated view of the member can cost time but never return stale data.
  */
 internal class ReadExecution(private val clock: Clock) {
     fun execute(host: MemberHost, request: RelayRequest, statements: List<Statement>, deadline: Duration) = when {
-        request.needs.requiresConfirmedPrimary -> executeStanding(host, request, statements, deadline)
+        request.needs.requiresConfirmedPrimary -> executeAtConfirmedPrimary(host, request, statements, deadline)
         else -> executeFresh(host, request, statements, deadline)
     }
 
-    private fun executeStanding(
+    private fun executeAtConfirmedPrimary(
         host: MemberHost,
         request: RelayRequest,
         statements: List<Statement>,
@@ -68,7 +68,7 @@
             if (clock.elapsed() >= catchUpUntil) {
                 return notFresh(host, "member ${host.name} does not prove an age of ${request.needs.maximumAge}").left()
             }
-            awaitFresherSample(catchUpUntil)
+            pauseBeforeRetry(catchUpUntil)
         }
     }
 
@@ -99,14 +99,14 @@
         term: Term,
         deadline: Duration,
     ): Either<Failure, BatchReply> {
-        val first = host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, term), request.patience)
+        val first = host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, term), request.replyTimeout)
         val newerTerm = first.leftOrNull()?.newerTerm()
         val last = if (newerTerm == null || request.needs.requiresConfirmedPrimary) {
             first
         } else {
-            host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, newerTerm), request.patience)
+            host.runBatch(request.toWorkItem(deadline), request.toBatch(statements, newerTerm), request.replyTimeout)
         }
-        return last.mapLeft { it.toFailure(unanswered = Effect.NOT_RUN) }
+        return last.mapLeft { it.toFailure(effectIfUnanswered = Effect.NOT_RUN) }
     }
 
     private fun GatewayFailure.newerTerm(): Term? =
@@ -115,8 +115,8 @@
     private fun RelayRequest.toBatch(statements: List<Statement>, term: Term) =
         StatementBatch(id, term, readOnly = true, statements = statements, end = BatchEnd.COMMIT)
 
-    private fun awaitFresherSample(until: Duration) {
-        val pause = minOf(SAMPLE_PAUSE_MILLIS, (until - clock.elapsed()).inWholeMilliseconds).coerceAtLeast(1)
+    private fun pauseBeforeRetry(until: Duration) {
+        val pause = minOf(FRESHNESS_POLL_MILLIS, (until - clock.elapsed()).inWholeMilliseconds).coerceAtLeast(1)
         Thread.sleep(pause)
     }
 
@@ -126,10 +126,10 @@
         step = Step.WAIT_FOR_REPLICA,
         peer = Peer.Member(host.name),
         detail = detail,
-        retryAfter = RETRY_AFTER_LOSS,
+        retryAfter = MEMBER_FAILURE_RETRY_AFTER,
     )
 
     private companion object {
-        const val SAMPLE_PAUSE_MILLIS = 20L
+        const val FRESHNESS_POLL_MILLIS = 20L
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/WorkItems.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/WorkItems.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Returns what admission has to know of this request. */
+/** Returns the description of this request for admission. */
 internal fun RelayRequest.toWorkItem(deadline: Duration): WorkItem = WorkItem(
     id = id,
     team = team,
@@ -20,8 +20,8 @@
 )
 
 /**
- * Whether the request may be sent again although an earlier sending may have run: reads, work that carries a key, and
- * work that its team declares idempotent. Parts of an interactive transaction are never sent again.
+ * Whether the request may be retried although an earlier attempt may have run: reads, writes with an idempotency key
+ * and writes that their team declares idempotent. Requests of an interactive transaction are never retried.
  */
 internal val RelayRequest.isRepeatable: Boolean
     get() = when (work) {
@@ -31,11 +31,12 @@
     }
 
 /**
- * Time to wait for the answer to one batch of this request. Work that may be sent again does not spend its whole
- * deadline on a connection that has gone silent.
+ * Time to wait for the reply to one batch of this request. It is limited for repeatable work, so that a connection
+ * that no longer answers does not use up the whole deadline.
  */
-internal val RelayRequest.patience: Duration
-    get() = if (isRepeatable) maxOf(kind.targetMillis.milliseconds * TARGETS, SHORTEST_PATIENCE) else Duration.INFINITE
+internal val RelayRequest.replyTimeout: Duration
+    get() =
+        if (isRepeatable) maxOf(kind.targetMillis.milliseconds * TARGET_FACTOR, MINIMUM_TIMEOUT) else Duration.INFINITE
 
-private const val TARGETS = 4
-private val SHORTEST_PATIENCE = 1.seconds
+private const val TARGET_FACTOR = 4
+private val MINIMUM_TIMEOUT = 1.seconds
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/WriteExecution.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/work/WriteExecution.kt
@@ -18,9 +18,9 @@
 import dev.kumquatknot.proxy.relay.RelayRequest
 import kotlin.time.Duration
 
-/** Runs a write at the primary and acknowledges it only once a majority holds it in the primary's term. */
+/** Runs writes at the primary and acknowledges each only after a majority holds it in the primary's term. */
 internal class WriteExecution(private val keyed: KeyedExecution) {
-    /** Runs [statements] in one transaction. */
+    /** Runs [statements] in one transaction and waits for its confirmation. */
     fun execute(
         host: MemberHost,
         request: RelayRequest,
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Answers the question for the outcome of the work that carried the key of [request].
+     * Determines the outcome of the work that was sent with the key of [request].
      *
-     * @param statements the work, where it is known; a record of other work is then refused.
+     * @param statements the work, if it is known; a record of other work under the key is then refused.
      */
     fun resolve(
         host: MemberHost,
@@ -45,12 +45,12 @@
         deadline: Duration,
         statements: List<Statement>? = null,
     ): Either<Failure, RelayAnswer> = either {
-        val key = request.key ?: raise(request.missingKey())
+        val key = request.key ?: raise(request.missingKeyFailure())
         val attempt = Attempt(host, request, primaryTerm(host).bind(), deadline)
         val resolved = keyed.resolve(attempt, key, statements).bind()
         confirm(host, resolved.point, deadline).bind()
         when (resolved) {
-            is ResolvedWork.NotRun -> raise(request.abandoned())
+            is ResolvedWork.NotRun -> raise(request.abandonedFailure())
             is ResolvedWork.Ran -> RelayAnswer(
                 resolved.work.results,
                 resolved.point,
@@ -60,7 +60,7 @@
         }
     }.mapLeft { if (it.step == Step.RESOLVE) it else it.copy(effect = Effect.UNKNOWN) }
 
-    /** Waits until a majority holds [point]; any other end leaves the outcome unknown. */
+    /** Blocks until a majority holds [point]; after a failure the outcome is unknown. */
     fun confirm(host: MemberHost, point: HistoryPoint, deadline: Duration): Either<Failure, Unit> {
         if (host.group.awaitConfirmation(point, host.name, deadline) == Confirmation.CONFIRMED) return Unit.right()
         return Failure(
@@ -69,11 +69,11 @@
             step = Step.CONFIRM,
             peer = Peer.Member(host.name),
             detail = "the transaction committed at point $point and no other member confirmed it in time",
-            retryAfter = RETRY_AFTER_LOSS,
+            retryAfter = MEMBER_FAILURE_RETRY_AFTER,
         ).left()
     }
 
-    /** Returns the term in which the member is the primary. */
+    /** Returns the term in which the member is the primary, or a failure if another member is or none is known. */
     fun primaryTerm(host: MemberHost): Either<Failure, Term> {
         val view = host.group.view()
         if (view.primary == host.name) return view.term.right()
@@ -83,19 +83,19 @@
             step = Step.ROUTE,
             peer = Peer.Member(host.name),
             detail = "member ${host.name} is not the primary; the primary is ${view.primary ?: "not known"}",
-            retryAfter = RETRY_AFTER_LOSS,
+            retryAfter = MEMBER_FAILURE_RETRY_AFTER,
         ).left()
     }
 
     private fun run(attempt: Attempt, statements: List<Statement>): Either<Failure, CommittedWork> =
         attempt.run(statements)
-            .mapLeft { it.toFailure(unanswered = Effect.UNKNOWN) }
+            .mapLeft { it.toFailure(effectIfUnanswered = Effect.UNKNOWN) }
             .map { CommittedWork(it.results, it.point) }
 
-    private fun RelayRequest.missingKey() =
+    private fun RelayRequest.missingKeyFailure() =
         Failure(FailureReason.KEY_REQUIRED, Effect.NOT_RUN, Step.RESOLVE, Peer.Caller, "the request names no key")
 
-    private fun RelayRequest.abandoned() = Failure(
+    private fun RelayRequest.abandonedFailure() = Failure(
         reason = FailureReason.ABANDONED,
         effect = Effect.NOT_RUN,
         step = Step.RESOLVE,
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/ConfigurationCapacitySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/ConfigurationCapacitySpec.kt
@@ -20,7 +20,7 @@
 import dev.kumquatknot.core.membership.Membership
 import dev.kumquatknot.core.membership.VmCondition
 import dev.kumquatknot.core.membership.VmRecord
-import dev.kumquatknot.proxy.node.Ownership
+import dev.kumquatknot.proxy.node.GatewayAssignment
 import kotlinx.serialization.json.Json
 import org.junit.jupiter.api.Test
 import strikt.api.expectThat
@@ -30,53 +30,53 @@
 import kotlin.time.Duration
 import kotlin.time.measureTime
 
-/** Sizes and times that grow with the number of database groups. */
+/** Limits the sizes and times that grow with the number of database groups. */
 class ConfigurationCapacitySpec {
     private val counts = System.getProperty("capacity.databases", "10,100,940").split(",").map { it.toInt() }
 
     @Test
-    fun `the configuration fits a stored value and the budget of control`() {
+    fun `the configuration fits into a stored value and the bandwidth budget of control traffic`() {
         counts.forEach { count ->
             val text = Json.encodeToString(FleetConfiguration.serializer(), configuration(count))
-            val zipped = ByteArrayOutputStream().also { out ->
+            val compressed = ByteArrayOutputStream().also { out ->
                 GZIPOutputStream(out).use { it.write(text.toByteArray()) }
             }
-            val parse = fastest { Json.decodeFromString(FleetConfiguration.serializer(), text) }
-            val perSecond = zipped.size() * CHANGES_A_DAY / SECONDS_A_DAY
+            val parse = fastestRun { Json.decodeFromString(FleetConfiguration.serializer(), text) }
+            val bytesPerSecond = compressed.size() * CHANGES_PER_DAY / SECONDS_PER_DAY
             println(
-                "ConfigurationCapacitySpec: $count databases: ${text.length} bytes, ${zipped.size()} compressed, " +
-                    "$perSecond B/s at $CHANGES_A_DAY changes a day, read in $parse",
+                "ConfigurationCapacitySpec: $count databases: ${text.length} bytes, ${compressed.size()} compressed, " +
+                    "$bytesPerSecond B/s at $CHANGES_PER_DAY changes a day, read in $parse",
             )
-            expectThat(text.length).isLessThan(LARGEST_VALUE)
-            expectThat(perSecond).isLessThan(CONTROL_BYTES_PER_SECOND)
+            expectThat(text.length).isLessThan(MAXIMUM_VALUE_LENGTH)
+            expectThat(bytesPerSecond).isLessThan(CONTROL_BYTES_PER_SECOND)
         }
     }
 
     @Test
-    fun `the gateways of all members are chosen anew in a fraction of a second`() {
+    fun `the time to reassign the gateways of all members is printed`() {
         val nodes = System.getProperty("capacity.nodes", "8,62").split(",").map { it.toInt() }
         nodes.forEach { size ->
             val configuration = configuration(counts.max())
             val records = List(size) {
-                VmRecord(VmName("vm-$it"), centre(it), "10.0.0.1:1", 0, VmCondition.LIVE)
+                VmRecord(VmName("vm-$it"), dataCentre(it), "10.0.0.1:1", 0, VmCondition.LIVE)
             }
             val membership = Membership(records.first()).merged(records.drop(1), Duration.ZERO).membership
-            val time = fastest { Ownership(configuration, membership).membersOf(VmName("vm-1")) }
+            val time = fastestRun { GatewayAssignment(configuration, membership).membersOf(VmName("vm-1")) }
             println("ConfigurationCapacitySpec: $size nodes, ${counts.max()} databases: gateways chosen in $time")
         }
     }
 
-    private fun fastest(action: () -> Unit): Duration = List(REPETITIONS) { measureTime(action) }.min()
+    private fun fastestRun(action: () -> Unit): Duration = List(REPETITIONS) { measureTime(action) }.min()
 
-    private fun centre(index: Int) = DataCentre("centre-${index % DATA_CENTRES}")
+    private fun dataCentre(index: Int) = DataCentre("centre-${index % DATA_CENTRES}")
 
     private fun configuration(databases: Int) = FleetConfiguration(
         number = 1,
-        dataCentres = List(DATA_CENTRES) { DataCentreConfiguration(centre(it), Region("region-${it / 2}")) },
+        dataCentres = List(DATA_CENTRES) { DataCentreConfiguration(dataCentre(it), Region("region-${it / 2}")) },
         databases = List(databases) { index ->
             val members = List(MEMBERS) { member ->
                 val address = "10.${index % 250}.${index / 250}.$member:5432"
-                MemberConfiguration(MemberName("database-$index-$member"), centre(index + member), address, 3, 30)
+                MemberConfiguration(MemberName("database-$index-$member"), dataCentre(index + member), address, 3, 30)
             }
             DatabaseConfiguration(DatabaseName("database-$index"), members)
         },
@@ -111,9 +111,9 @@
         const val KINDS = 5
         const val DATABASES_PER_TEAM = 5
         const val REPETITIONS = 20
-        const val LARGEST_VALUE = 1_000_000
-        const val CHANGES_A_DAY = 2_900
-        const val SECONDS_A_DAY = 86_400
+        const val MAXIMUM_VALUE_LENGTH = 1_000_000
+        const val CHANGES_PER_DAY = 2_900
+        const val SECONDS_PER_DAY = 86_400
         const val CONTROL_BYTES_PER_SECOND = 12_000
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/GossipCapacitySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/GossipCapacitySpec.kt
@@ -37,8 +37,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Counts what the exchange of news costs a node, period by period on virtual time. The sizes of the fleet come from the
- * system property `capacity.nodes`, a list separated by commas.
+ * Measures the cost of gossip per node on virtual time. The fleet sizes come from the system property `capacity.nodes`,
+ * a comma-separated list.
  */
 class GossipCapacitySpec {
     private val sizes = System.getProperty("capacity.nodes", "8,62").split(",").map { it.toInt() }
@@ -46,7 +46,7 @@
     @Nested
     inner class `a steady fleet` {
         @Test
-        fun `costs each node bytes that stay within the budget of control at any size`() {
+        fun `stays within the bandwidth budget of control traffic per node at any size`() {
             sizes.forEach { size ->
                 val fleet = GossipFleet(size)
                 fleet.run(periods = 10)
@@ -58,16 +58,16 @@
     }
 
     @Nested
-    inner class `news of a new primary` {
+    inner class `an update about a new primary` {
         @Test
-        fun `reaches every node within a second and without a further period`() {
+        fun `reaches every node within three periods`() {
             sizes.forEach { size ->
                 val fleet = GossipFleet(size)
                 fleet.run(periods = 10)
                 val before = fleet.calls
-                val reachedAtOnce = fleet.announcePrimary()
-                val periods = fleet.periodsUntilAllKnow()
-                val share = reachedAtOnce * 100 / size
+                val reachedByPush = fleet.announcePrimary()
+                val periods = fleet.periodsUntilPrimaryIsKnown()
+                val share = reachedByPush * 100 / size
                 println(
                     "GossipCapacitySpec: news, $size nodes: $share % at once with " +
                         "${fleet.calls - before} calls in all, all after $periods periods",
@@ -78,20 +78,20 @@
     }
 
     @Nested
-    inner class `a node that is gone` {
+    inner class `a node that is down` {
         @Test
-        fun `is failed everywhere within eleven seconds and found by no one else`() {
+        fun `is marked as failed by all others within eleven seconds, and no other node is`() {
             sizes.forEach { size ->
                 val fleet = GossipFleet(size)
                 fleet.run(periods = 10)
                 fleet.down += VmName("vm-1")
                 val periods = fleet.periodsUntil {
-                    fleet.conditionEverywhere(VmName("vm-1")) ==
+                    fleet.conditionsAtOthers(VmName("vm-1")) ==
                         setOf(VmCondition.FAILED)
                 }
                 println("GossipCapacitySpec: failure, $size nodes: known everywhere after $periods s")
                 expectThat(periods).isLessThanOrEqualTo(11)
-                expectThat(fleet.conditionsOfOthers()).isEqualTo(setOf(VmCondition.LIVE))
+                expectThat(fleet.conditionsOfRunningNodes()).isEqualTo(setOf(VmCondition.LIVE))
             }
         }
     }
@@ -101,22 +101,22 @@
     }
 }
 
-/** What control cost one node on average. */
+/** Average cost of control traffic for one node. */
 internal data class GossipCost(
     val callsPerNodeSecond: Double,
     val bytesPerNodeSecond: Long,
     val microsPerNodeSecond: Long,
 )
 
-/** Membership runners that call each other in this thread; calls of executors run after the current one. */
+/** Membership runners that call each other in the test thread; executor tasks run after the current call. */
 internal class GossipFleet(private val size: Int) {
     val down = HashSet<VmName>()
     var calls = 0L
         private set
     private var bytes = 0L
     private var now = 0.seconds
-    private val pending = ArrayDeque<Runnable>()
-    private val executor = Executor { pending.addLast(it) }
+    private val pendingTasks = ArrayDeque<Runnable>()
+    private val executor = Executor { pendingTasks.addLast(it) }
     private val clock = object : Clock {
         override fun elapsed(): Duration = now
 
@@ -131,11 +131,11 @@
         )
     }
     private val runners = listed.associate { it.name to newRunner(it) }
-    private val announced = PrimaryRecord(DatabaseName("inventory-1"), Term(2), MemberName("inventory-1-b"))
+    private val announcedPrimary = PrimaryRecord(DatabaseName("inventory-1"), Term(2), MemberName("inventory-1-b"))
 
     init {
-        runners.values.forEach { it.listed(listed, emptySet()) }
-        drain()
+        runners.values.forEach { it.mergeListedVms(listed, emptySet()) }
+        runPendingTasks()
     }
 
     fun run(periods: Int) = repeat(periods) { runPeriod() }
@@ -155,12 +155,14 @@
     }
 
     fun announcePrimary(): Int {
-        runners.values.first().announce(announced)
-        drain()
-        return runners.values.count { it.primary(announced.database) == announced }
+        runners.values.first().announce(announcedPrimary)
+        runPendingTasks()
+        return runners.values.count { it.primary(announcedPrimary.database) == announcedPrimary }
     }
 
-    fun periodsUntilAllKnow(): Int = periodsUntil { runners.values.all { it.primary(announced.database) == announced } }
+    fun periodsUntilPrimaryIsKnown(): Int = periodsUntil {
+        runners.values.all { it.primary(announcedPrimary.database) == announcedPrimary }
+    }
 
     fun periodsUntil(done: () -> Boolean): Int {
         var periods = 0
@@ -171,11 +173,11 @@
         return periods
     }
 
-    fun conditionEverywhere(vm: VmName): Set<VmCondition?> =
+    fun conditionsAtOthers(vm: VmName): Set<VmCondition?> =
         runners.filterKeys { it != vm && it !in down }.values.map { it.view.record(vm)?.condition }.toSet()
 
-    /** Conditions that the nodes which are up have of each other. */
-    fun conditionsOfOthers(): Set<VmCondition> = runners.filterKeys { it !in down }.values
+    /** Returns the conditions in which the running nodes see each other. */
+    fun conditionsOfRunningNodes(): Set<VmCondition> = runners.filterKeys { it !in down }.values
         .flatMap { it.view.records.values }
         .filter { it.name !in down }
         .map { it.condition }
@@ -185,12 +187,12 @@
         now += 1.seconds
         runners.filterKeys { it !in down }.values.forEach {
             it.runPeriod()
-            drain()
+            runPendingTasks()
         }
     }
 
-    private fun drain() {
-        while (pending.isNotEmpty()) pending.removeFirst().run()
+    private fun runPendingTasks() {
+        while (pendingTasks.isNotEmpty()) pendingTasks.removeFirst().run()
     }
 
     private fun newRunner(vm: ListedVm) = MembershipRunner(
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/ObservationCapacitySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/ObservationCapacitySpec.kt
@@ -33,22 +33,22 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Counts what the observation of database groups costs one node: reports, their bytes and processor time. */
+/** Measures the cost of observing database groups for one node: reports, their bytes and processor time. */
 class ObservationCapacitySpec {
     private val counts = System.getProperty("capacity.groups", "1,5").split(",").map { it.toInt() }
     private val seconds = java.lang.Long.getLong("capacity.seconds", 1)
     private val reports = AtomicLong()
 
     @Test
-    fun `the reports of a node's groups stay within the budget of control`() {
+    fun `the reports of a node's groups stay within the bandwidth budget of control traffic`() {
         counts.forEach { count ->
             val before = reports.get()
             val micros = observe(count)
-            val perSecond = (reports.get() - before).toDouble() / seconds
-            val bytes = perSecond * (MESSAGE_BYTES + FRAME_BYTES)
+            val reportsPerSecond = (reports.get() - before).toDouble() / seconds
+            val bytes = reportsPerSecond * (MESSAGE_BYTES + FRAME_BYTES)
             println(
-                "ObservationCapacitySpec: $count groups: $perSecond reports/s, ${bytes.toLong()} B/s with frames, " +
-                    "${micros / seconds} microseconds of processor time a second",
+                "ObservationCapacitySpec: $count groups: $reportsPerSecond reports/s, " +
+                    "${bytes.toLong()} B/s with frames, ${micros / seconds} microseconds of processor time a second",
             )
             expectThat(bytes.toLong()).isLessThan(CONTROL_BYTES_PER_SECOND)
         }
@@ -58,11 +58,11 @@
         val timer = ScheduledThreadPoolExecutor(2)
         val workers = Executors.newFixedThreadPool(WORKERS)
         val runners = List(count) { runner(it, count, GroupRunnerThreads(timer, workers)) }
-        val bean = ManagementFactory.getPlatformMXBean(com.sun.management.OperatingSystemMXBean::class.java)
+        val operatingSystem = ManagementFactory.getPlatformMXBean(com.sun.management.OperatingSystemMXBean::class.java)
         runners.forEach { it.start() }
-        val startedAt = bean.processCpuTime
+        val startedAt = operatingSystem.processCpuTime
         Thread.sleep(seconds * MILLIS)
-        val micros = (bean.processCpuTime - startedAt) / MILLIS
+        val micros = (operatingSystem.processCpuTime - startedAt) / MILLIS
         runners.forEach { it.stop() }
         timer.shutdownNow()
         workers.shutdownNow()
@@ -83,7 +83,7 @@
     }
 
     private fun port(member: MemberName, primary: Boolean): MemberPort {
-        val unused: Either<MemberFailure, MemberReport> =
+        val notSupported: Either<MemberFailure, MemberReport> =
             MemberFailure.Unreachable(member, Step.PROMOTE, "not part of the count").left()
         return MemberPort(
             member = member,
@@ -92,9 +92,9 @@
                 reports.incrementAndGet()
                 report(member, primary).right()
             },
-            acceptTerm = { _, _ -> unused },
-            promote = { _, _ -> unused },
-            follow = { _, _, _ -> unused },
+            acceptTerm = { _, _ -> notSupported },
+            promote = { _, _ -> notSupported },
+            follow = { _, _, _ -> notSupported },
         )
     }
 
