--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/group/GroupRunnerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/group/GroupRunnerSpec.kt
@@ -45,7 +45,7 @@
 class GroupRunnerSpec {
     private val clock = ManualClock()
     private val timer = ManualTimer(clock)
-    private val members = listOf("a", "b", "c").map { Member(MemberName(it)) }
+    private val members = listOf("a", "b", "c").map { FakeMember(MemberName(it)) }
     private val database = DatabaseConfiguration(
         DatabaseName("inventory"),
         members.map { MemberConfiguration(it.name, DataCentre("dc"), "127.0.0.1:0", slots = 3, connections = 20) },
@@ -62,11 +62,11 @@
     )
 
     @AfterEach
-    fun `end the timer`() {
+    fun `shut down the timer`() {
         timer.shutdownNow()
     }
 
-    private fun started(): MemberName {
+    private fun startRunner(): MemberName {
         runner.start()
         timer.advance(3.seconds)
         return runner.view().primary!!
@@ -75,18 +75,18 @@
     @Nested
     inner class `a group without a primary` {
         @Test
-        fun `gets one, which the others follow and listeners hear of`() {
-            val heard = mutableListOf<GroupView>()
-            runner.onView { heard += it }
-            val primary = started()
+        fun `promotes one member, which the others follow and listeners are notified of`() {
+            val views = mutableListOf<GroupView>()
+            runner.addViewListener { views += it }
+            val primary = startRunner()
             expectThat(members.filter { it.role == MemberRole.PRIMARY }.map { it.name }).isEqualTo(listOf(primary))
             expectThat(members.count { it.following == primary }).isEqualTo(2)
-            expectThat(heard.map { it.primary }).isEqualTo(listOf(primary))
+            expectThat(views.map { it.primary }).isEqualTo(listOf(primary))
             expectThat(published).hasSize(1)
         }
 
         @Test
-        fun `is left alone by a stopped runner`() {
+        fun `is not changed by a stopped runner`() {
             runner.start()
             runner.stop()
             timer.advance(3.seconds)
@@ -95,20 +95,20 @@
     }
 
     @Nested
-    inner class `a primary that no longer answers anybody` {
+    inner class `a primary that no longer answers this VM` {
         @Test
-        fun `is replaced within three seconds`() {
-            val first = started()
-            members.first { it.name == first }.refuses = true
-            members.filter { it.name != first }.forEach { it.hears = false }
+        fun `is replaced within three seconds if its replicas have lost contact too`() {
+            val first = startRunner()
+            members.first { it.name == first }.refusesCalls = true
+            members.filter { it.name != first }.forEach { it.hearsPrimary = false }
             timer.advance(3.seconds)
             expectThat(runner.view().primary).isNotNull().isNotEqualTo(first)
         }
 
         @Test
-        fun `stays while its replicas hear it and nobody was asked for long enough`() {
-            val first = started()
-            members.first { it.name == first }.refuses = true
+        fun `is kept for three seconds while its replicas are in contact with it`() {
+            val first = startRunner()
+            members.first { it.name == first }.refusesCalls = true
             timer.advance(3.seconds)
             expectThat(runner.view().primary).isEqualTo(first)
         }
@@ -117,8 +117,8 @@
     @Nested
     inner class `the request path` {
         @Test
-        fun `learns the confirmation of a write from the reply of a replica`() {
-            val primary = started()
+        fun `gets the confirmation of a write from the reply of a replica`() {
+            val primary = startRunner()
             val point = HistoryPoint(runner.view().term, LogPosition(40))
             val reply = BatchReply(RequestId("r"), emptyList(), point, point.term)
             runner.observeReply(members.first { it.name != primary }.name, clock.elapsed(), reply)
@@ -126,8 +126,8 @@
         }
 
         @Test
-        fun `learns that a majority follows the primary, and ages`() {
-            val primary = started()
+        fun `gets the primary that a majority follows, and the proven age of data`() {
+            val primary = startRunner()
             val since = clock.elapsed()
             timer.advance(300.milliseconds)
             val standing = Standing(runner.view().term, primary)
@@ -136,19 +136,19 @@
         }
 
         @Test
-        fun `answers other VMs when it last heard a member`() {
-            val primary = started()
+        fun `reports to other VMs when a member last answered`() {
+            val primary = startRunner()
             expectThat(runner.vantage(primary).heardAgo).isNotNull()
         }
     }
 
     @Test
-    fun `proposes under another name than an earlier runner of the same VM`() {
-        started()
+    fun `uses another proposer name than an earlier runner of the same VM`() {
+        startRunner()
         runner.stop()
         members.forEach {
             it.role = MemberRole.REPLICA
-            it.hears = false
+            it.hearsPrimary = false
         }
         newRunner().start()
         timer.advance(5.seconds)
@@ -157,12 +157,12 @@
         expectThat(proposers.map { it.value.substringBefore('/') }.toSet()).contains("vm-1")
     }
 
-    private inner class Member(val name: MemberName) {
+    private inner class FakeMember(val name: MemberName) {
         var role = MemberRole.REPLICA
         var following: MemberName? = null
-        var refuses = false
-        var hears = true
-        var heardAt: Duration? = null
+        var refusesCalls = false
+        var hearsPrimary = true
+        var primaryContactAt: Duration? = null
         val proposers = mutableSetOf<VmName>()
         private var term = Term(0)
         private var last = HistoryPoint.START
@@ -189,20 +189,20 @@
                 answer(timeout) {
                     term = followed
                     following = primary
-                    heardAt = clock.elapsed()
+                    primaryContactAt = clock.elapsed()
                     report()
                 }
             },
         )
 
         private fun report(): MemberReport {
-            if (hears && following != null) heardAt = clock.elapsed()
-            val age = heardAt?.let { clock.elapsed() - it }
+            if (hearsPrimary && following != null) primaryContactAt = clock.elapsed()
+            val age = primaryContactAt?.let { clock.elapsed() - it }
             return MemberReport(name, role, term, last, age.takeIf { role == MemberRole.REPLICA })
         }
 
         private fun answer(timeout: Duration, run: () -> MemberReport): Either<MemberFailure, MemberReport> {
-            if (!refuses) return run().right()
+            if (!refusesCalls) return run().right()
             return MemberFailure.Unreachable(name, Step.PROBE, "refused within $timeout").left()
         }
 
@@ -217,26 +217,26 @@
         override fun instant(): Instant = Instant.EPOCH
     }
 
-    /** Runs what is due when its clock is advanced; the thread of the pool never runs anything. */
+    /** Runs due tasks in the thread that advances the clock; the thread of the pool never runs any. */
     private class ManualTimer(private val clock: ManualClock) : ScheduledThreadPoolExecutor(1) {
-        private class Entry(val at: Duration, val command: Runnable, val future: ScheduledFuture<*>)
+        private class ScheduledTask(val dueAt: Duration, val command: Runnable, val future: ScheduledFuture<*>)
 
-        private val entries = mutableListOf<Entry>()
+        private val tasks = mutableListOf<ScheduledTask>()
 
         override fun schedule(command: Runnable, delay: Long, unit: TimeUnit): ScheduledFuture<*> {
             val future = super.schedule(Callable { }, 1, TimeUnit.DAYS)
-            entries += Entry(clock.time + unit.toNanos(delay).nanoseconds, command, future)
+            tasks += ScheduledTask(clock.time + unit.toNanos(delay).nanoseconds, command, future)
             return future
         }
 
         fun advance(by: Duration) {
             val end = clock.time + by
             while (true) {
-                entries.removeAll { it.future.isCancelled }
-                val next = entries.filter { it.at <= end }.minByOrNull { it.at } ?: break
-                entries -= next
+                tasks.removeAll { it.future.isCancelled }
+                val next = tasks.filter { it.dueAt <= end }.minByOrNull { it.dueAt } ?: break
+                tasks -= next
                 next.future.cancel(false)
-                clock.time = maxOf(clock.time, next.at)
+                clock.time = maxOf(clock.time, next.dueAt)
                 next.command.run()
             }
             clock.time = maxOf(clock.time, end)
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/member/MemberGatewaySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/member/MemberGatewaySpec.kt
@@ -60,20 +60,20 @@
     @Nested
     inner class `a connection` {
         @Test
-        fun `is used again after an answered commit`() {
+        fun `is reused after an answered commit`() {
             repeat(3) { run(BatchEnd.COMMIT) }
             expectThat(member.opened.get()).isEqualTo(1)
         }
 
         @Test
-        fun `is closed when a transaction stayed open`() {
+        fun `is closed if a transaction is still open`() {
             run(BatchEnd.KEEP_OPEN)
             expectThat(gateway.load.connections.total).isEqualTo(0)
             expectThat(member.open.get()).isEqualTo(0)
         }
 
         @Test
-        fun `is never used again after a missing answer`() {
+        fun `is not reused after a missing answer`() {
             member.answer = { MemberFailure.NoAnswer(member.name, Step.EXECUTE, "silent").left() }
             expectThat(run(BatchEnd.COMMIT)).isA<Either.Left<GatewayFailure>>()
             expectThat(member.open.get()).isEqualTo(0)
@@ -81,14 +81,14 @@
         }
 
         @Test
-        fun `is used again after a failed statement, which was rolled back`() {
+        fun `is reused after a failed statement, which was rolled back`() {
             member.answer = { MemberFailure.StatementFailed(member.name, "23505", "duplicate").left() }
             run(BatchEnd.COMMIT)
             expectThat(gateway.load.connections.idle).isEqualTo(1)
         }
 
         @Test
-        fun `that cannot be opened fails the work and gives the slot back`() {
+        fun `that cannot be opened fails the work and releases the slot`() {
             member.connect = { MemberFailure.Unreachable(member.name, Step.CONNECT, "refused").left() }
             expectThat(run(BatchEnd.COMMIT).leftOrNull()).isA<GatewayFailure.ConnectFailed>()
             expectThat(gateway.load.queue.inFlight).isEqualTo(0)
@@ -118,7 +118,7 @@
         }
 
         @Test
-        fun `is refused beyond the bound`() {
+        fun `is refused beyond the limit of transactions`() {
             repeat(5) { gateway.pin(item()) }
             expectThat(gateway.pin(item()).leftOrNull()).isA<GatewayFailure.NoFreeConnection>()
             expectThat(run(BatchEnd.COMMIT).isRight()).isTrue()
@@ -126,14 +126,14 @@
     }
 
     @Nested
-    inner class `giving up` {
+    inner class `draining` {
         @Test
-        fun `refuses new work as not run and drains`() {
+        fun `refuses new work as not served and closes connections until the gateway resumes`() {
             run(BatchEnd.COMMIT)
-            gateway.giveUp()
-            expectThat(run(BatchEnd.COMMIT).leftOrNull()).isEqualTo(GatewayFailure.GivenUp(member.name))
+            gateway.drain()
+            expectThat(run(BatchEnd.COMMIT).leftOrNull()).isEqualTo(GatewayFailure.NotServed(member.name))
             expectThat(gateway.drained).isTrue()
-            gateway.takeUp()
+            gateway.resume()
             expectThat(run(BatchEnd.COMMIT).isRight()).isTrue()
         }
     }
@@ -141,7 +141,7 @@
     @Nested
     inner class `many workers` {
         @Test
-        fun `never exceed slots or connections, and leave nothing taken`() {
+        fun `never exceed slots or connections, and release all of them`() {
             val seed = System.getProperty("kumquatknot.test.seed")?.toLong() ?: 20261204L
             println("seed $seed")
             member.answer = { request ->
@@ -152,27 +152,27 @@
                 }
             }
             val workers = Executors.newFixedThreadPool(16)
-            repeat(16) { worker -> workers.execute { work(Random(seed + worker)) } }
+            repeat(16) { worker -> workers.execute { runRandomWork(Random(seed + worker)) } }
             workers.shutdown()
             expectThat(workers.awaitTermination(30, TimeUnit.SECONDS)).isTrue()
-            expectThat(member.mostRunning.get()).isLessThanOrEqualTo(3)
-            expectThat(member.mostOpen.get()).isLessThanOrEqualTo(8)
+            expectThat(member.maximumRunning.get()).isLessThanOrEqualTo(3)
+            expectThat(member.maximumOpen.get()).isLessThanOrEqualTo(8)
             expectThat(gateway.load.queue.inFlight).isEqualTo(0)
             expectThat(gateway.load.queue.queued.values.sum()).isEqualTo(0)
             expectThat(gateway.load.connections.let { it.batches + it.transactions }).isEqualTo(0)
             expectThat(member.open.get()).isEqualTo(gateway.load.connections.idle)
-            expectThat(member.shared.get()).isFalse()
+            expectThat(member.usedConcurrentlyOrAfterClose.get()).isFalse()
         }
 
-        private fun work(random: Random) = repeat(200) {
+        private fun runRandomWork(random: Random) = repeat(200) {
             when (random.nextInt(6)) {
-                0 -> transaction(random)
+                0 -> runTransaction(random)
                 1 -> gateway.maintain()
                 else -> run(BatchEnd.entries.random(random))
             }
         }
 
-        private fun transaction(random: Random) {
+        private fun runTransaction(random: Random) {
             val pinned = gateway.pin(item()).getOrNull() ?: return
             repeat(random.nextInt(3)) {
                 pinned.execute(item()) { connection, timeout -> connection.run(batch(BatchEnd.KEEP_OPEN), timeout) }
@@ -183,15 +183,15 @@
     }
 }
 
-/** A member with 3 slots and 10 connections that counts what is open and what runs. */
+/** A member with 3 slots and 10 connections that counts open connections and running batches. */
 private class FakeMember {
     val name = MemberName("inventory-1-a")
     val configuration = MemberConfiguration(name, DataCentre("mendoza-a"), "127.0.0.1:0", slots = 3, connections = 10)
     val opened = AtomicInteger()
     val open = AtomicInteger()
-    val mostOpen = AtomicInteger()
-    val mostRunning = AtomicInteger()
-    val shared = java.util.concurrent.atomic.AtomicBoolean()
+    val maximumOpen = AtomicInteger()
+    val maximumRunning = AtomicInteger()
+    val usedConcurrentlyOrAfterClose = java.util.concurrent.atomic.AtomicBoolean()
     val reply = BatchReply(RequestId("request"), emptyList(), HistoryPoint.START, Term(1)).right()
     private val running = AtomicInteger()
     private val requests = AtomicInteger()
@@ -209,8 +209,8 @@
         { _, _, _ -> unused() },
     )
 
-    private fun record(most: AtomicInteger, value: Int) {
-        most.accumulateAndGet(value, ::maxOf)
+    private fun recordMaximum(maximum: AtomicInteger, value: Int) {
+        maximum.accumulateAndGet(value, ::maxOf)
     }
 
     private inner class FakeConnection : MemberConnection {
@@ -219,12 +219,12 @@
 
         init {
             opened.incrementAndGet()
-            record(mostOpen, open.incrementAndGet())
+            recordMaximum(maximumOpen, open.incrementAndGet())
         }
 
         override fun run(batch: StatementBatch, timeout: Duration): Either<MemberFailure, BatchReply> {
-            if (users.incrementAndGet() > 1 || closed.get()) shared.set(true)
-            record(mostRunning, running.incrementAndGet())
+            if (users.incrementAndGet() > 1 || closed.get()) usedConcurrentlyOrAfterClose.set(true)
+            recordMaximum(maximumRunning, running.incrementAndGet())
             Thread.yield()
             running.decrementAndGet()
             users.decrementAndGet()
