--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/relay/RelayMessages.kt
@@ -16,19 +16,24 @@
 import kotlin.time.Duration
 
 /**
- * How fresh the data of a read must be.
+ * Freshness requirements of a read.
  *
  * @property required point that the answer must cover.
- * @property maximumAge age that the data may have when the answer leaves the member's gateway, or null.
- * @property standing whether a primary must answer in whose term a majority stood after the request had arrived.
+ * @property maximumAge age that the data may have when the answer leaves the member's gateway, or null for no limit.
+ * @property requiresConfirmedPrimary whether the read must run at a primary that a majority is seen to follow after
+ * the request has arrived, in the term that the majority has accepted.
  */
-public data class ReadNeeds(val required: HistoryPoint, val maximumAge: Duration?, val standing: Boolean)
+public data class ReadNeeds(
+    val required: HistoryPoint,
+    val maximumAge: Duration?,
+    val requiresConfirmedPrimary: Boolean,
+)
 
 /**
- * Work on its way to the gateway of [member].
+ * Request that one VM sends to the gateway of [member].
  *
  * @property remaining time left until the caller's deadline.
- * @property catchUp longest time to wait for the member to become fresh enough.
+ * @property catchUpTimeout longest time to wait for the member to become fresh enough.
  */
 public data class RelayRequest(
     val id: RequestId,
@@ -40,13 +45,13 @@
     val work: Work,
     val key: IdempotencyKey?,
     val remaining: Duration,
-    val catchUp: Duration,
+    val catchUpTimeout: Duration,
 )
 
 /**
  * Answer of a member.
  *
- * @property point what the session has now seen of the database group.
+ * @property point history point of the database group that the session has observed with this answer.
  * @property transaction number of the interactive transaction that was started, or null.
  */
 public data class RelayAnswer(
@@ -58,13 +63,13 @@
 )
 
 /**
- * What the gateway of a member knows of the member and its group.
+ * Status of a member and its group as observed by the gateway of the member.
  *
- * @property primary primary of [term], or null where none is known.
- * @property point last entry of the member, as last seen.
+ * @property primary primary of [term], or null if none is known.
+ * @property point last log entry of the member, as last observed.
  * @property wait mean time that work waited for a slot.
  * @property service mean time that the member took for one batch.
- * @property lag recent time that reads waited for the member to reach a point of their session.
+ * @property lag average time that recent reads waited until the member reached the point of their session.
  */
 public data class MemberStatus(
     val term: Term,
@@ -93,5 +98,5 @@
     }
 }
 
-/** Outcome of a [RelayRequest], with the [status] of the member that comes along with every answer. */
+/** Outcome of a [RelayRequest], with the [status] of the member that every reply carries. */
 public data class RelayReply(val result: Either<Failure, RelayAnswer>, val status: MemberStatus)
