--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -42,10 +42,10 @@
 import dev.kumquatknot.proxy.group.GroupRunnerThreads
 import dev.kumquatknot.proxy.membership.MembershipRunner
 import dev.kumquatknot.proxy.peer.GossipMessage
+import dev.kumquatknot.proxy.peer.MemberObservation
 import dev.kumquatknot.proxy.peer.PeerConfiguration
 import dev.kumquatknot.proxy.peer.PeerService
 import dev.kumquatknot.proxy.peer.PrimaryRecord
-import dev.kumquatknot.proxy.peer.Vantage
 import dev.kumquatknot.proxy.relay.MemberStatus
 import dev.kumquatknot.proxy.relay.RelayReply
 import dev.kumquatknot.proxy.relay.RelayRequest
@@ -227,7 +227,7 @@
         ownership = next
         membership.view.records.values
             .filter { it.condition == VmCondition.FAILED }
-            .forEach { parts.peers.forget(it.name) }
+            .forEach { parts.peers.disconnect(it.name) }
         hosts.apply(configuration, next.membersOf(identity.vm))
         parts.metrics.configurationInForce(configuration.number)
     }
@@ -286,8 +286,8 @@
         val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(OTHER_VANTAGES)
         val asked = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
         return asked.mapNotNull { peer ->
-            parts.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
-                .fold({ null }, { VantageReport(peer.name, it.heardAgo) })
+            parts.peers.memberObservation(peer, database, member, VANTAGE_TIMEOUT)
+                .fold({ null }, { VantageReport(peer.name, it.sinceLastResponse) })
         }
     }
 
@@ -329,12 +329,12 @@
         override fun configuration(known: Long): PeerConfiguration =
             PeerConfiguration(holder.current.takeIf { it.number > known }, parts.sessionKeys)
 
-        override fun vantage(database: DatabaseName, member: MemberName): Vantage {
+        override fun memberObservation(database: DatabaseName, member: MemberName): MemberObservation {
             val heard = hosts.runner(database)?.vantage(member)?.heardAgo
-            if (heard != null) return Vantage(heard, Term(0))
+            if (heard != null) return MemberObservation(heard, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
-            return Vantage(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
+            return MemberObservation(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
         }
 
         private val Work.isNew: Boolean
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServer.kt
@@ -88,8 +88,8 @@
         }
 
         override fun vantage(request: VantageRequest, observer: StreamObserver<VantageReply>) {
-            val vantage = service.vantage(DatabaseName(request.database), MemberName(request.member))
-            observer.answer(vantage.toMessage())
+            val observation = service.memberObservation(DatabaseName(request.database), MemberName(request.member))
+            observer.answer(observation.toMessage())
         }
 
         /**
