--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/operator/OperatorApi.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/operator/OperatorApi.kt
@@ -8,23 +8,23 @@
 import org.http4k.routing.bind
 import org.http4k.routing.routes
 
-/** Result of a health check: whether it passed, and why not. */
+/** Result of a health check: whether it passed, and a description of the state that it found. */
 public data class Health(val passed: Boolean, val detail: String)
 
 /**
- * The operators' pages of one node. They carry no callers' data and ask for no key, so they listen on a port of their
- * own that callers cannot reach.
+ * HTTP API for operators of one node. It exposes no caller data and requires no key, so it is served on a separate
+ * port that callers cannot reach.
  *
- * - `/` today's page in HTML
+ * - `/` the operators' page of the current day in HTML
  * - `/status` the state of the node in JSON
- * - `/metrics` metrics in the text format of Prometheus
- * - `/health/live` 200 while the process works; a 503 asks for its replacement
- * - `/health/ready` 200 while the node takes work; a 503 asks the balancer to send none
+ * - `/metrics` metrics in the Prometheus text format
+ * - `/health/live` 200 while the process works; 503 asks for its replacement
+ * - `/health/ready` 200 while the node accepts work; 503 asks the load balancer to send none
  *
- * @param live check of the process itself.
- * @param ready check whether the node takes new work.
- * @param page today's page in HTML.
- * @param status state of the node in JSON.
+ * @param live liveness check of the process.
+ * @param ready readiness check: whether the node accepts new work.
+ * @param page renders the operators' page of the current day in HTML.
+ * @param status renders the state of the node in JSON.
  */
 public class OperatorApi(
     private val live: () -> Health,
@@ -33,7 +33,7 @@
     private val status: () -> String,
     private val metrics: NodeMetrics,
 ) {
-    /** Returns the handler of all operators' routes. */
+    /** Returns the HTTP handler of all operator routes. */
     public fun handler(): HttpHandler =
         routes(
             "/health/live" bind GET to { health(live()) },
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServer.kt
@@ -29,8 +29,8 @@
 import dev.kumquatknot.protocol.node.GossipMessage as GossipMessageMessage
 
 /**
- * Serves other nodes by gRPC. Relayed work and control calls run on executors of their own, so that work which waits
- * for a slot never holds up a probe.
+ * gRPC server for the calls of other nodes. Relayed work and control calls run on separate executors, so that work
+ * which waits for a slot never delays a probe.
  */
 public class GrpcNodeServer(
     address: InetSocketAddress,
@@ -45,15 +45,15 @@
         .addService(NodeService(self, service))
         .build()
 
-    /** Port on which the server listens, once started. */
+    /** Port on which the started server listens. */
     public val port: Int get() = server.port
 
-    /** Starts to listen. */
+    /** Binds the address and starts serving calls. */
     public fun start() {
         server.start()
     }
 
-    /** Refuses new calls, waits at most [grace] for those in flight, and closes. */
+    /** Refuses new calls, waits at most [grace] for the calls in flight, and cancels the remaining ones. */
     public fun stop(grace: Duration) {
         server.shutdown()
         if (!server.awaitTermination(grace.inWholeMilliseconds, TimeUnit.MILLISECONDS)) server.shutdownNow()
@@ -67,36 +67,36 @@
 
     private class NodeService(private val self: VmName, private val service: PeerService) : NodeGrpc.NodeImplBase() {
         override fun execute(request: WorkRequest, observer: StreamObserver<WorkReply>) =
-            observer.answer(outsideCall { service.execute(request.toRelayRequest(self)).toMessage() })
+            observer.respond(inRootContext { service.execute(request.toRelayRequest(self)).toMessage() })
 
         override fun gossip(request: GossipMessageMessage, observer: StreamObserver<GossipMessageMessage>) =
-            observer.answer(service.gossip(request.toGossipMessage()).toMessage())
+            observer.respond(service.gossip(request.toGossipMessage()).toMessage())
 
         override fun probeIndirectly(request: IndirectProbe, observer: StreamObserver<IndirectProbeReply>) {
             val answered = service.probeIndirectly(VmName(request.name), request.address)
-            observer.answer(IndirectProbeReply.newBuilder().setAnswered(answered).build())
+            observer.respond(IndirectProbeReply.newBuilder().setAnswered(answered).build())
         }
 
         override fun fetchConfiguration(request: ConfigurationRequest, observer: StreamObserver<ConfigurationReply>) {
             (observer as? ServerCallStreamObserver)?.setCompression("gzip")
-            val known = service.configuration(request.knownNumber)
-            val text = known.configuration?.let { Json.encodeToString(FleetConfiguration.serializer(), it) }
+            val peerConfiguration = service.configuration(request.knownNumber)
+            val json = peerConfiguration.configuration?.let { Json.encodeToString(FleetConfiguration.serializer(), it) }
             val reply = ConfigurationReply.newBuilder()
-                .setConfiguration(text.orEmpty())
-                .setSessionKeys(known.sessionKeys.orEmpty())
-            observer.answer(reply.build())
+                .setConfiguration(json.orEmpty())
+                .setSessionKeys(peerConfiguration.sessionKeys.orEmpty())
+            observer.respond(reply.build())
         }
 
         override fun vantage(request: VantageRequest, observer: StreamObserver<VantageReply>) {
             val observation = service.memberObservation(DatabaseName(request.database), MemberName(request.member))
-            observer.answer(observation.toMessage())
+            observer.respond(observation.toMessage())
         }
 
         /**
-         * Runs [action] outside the context of the call. A connection to a member that is opened inside would be
-         * cancelled with the end of the call, although others use it afterwards.
+         * Runs [action] outside the gRPC context of the call. A member connection that is opened within that context
+         * would be cancelled at the end of the call, although later requests use it.
          */
-        private fun <T> outsideCall(action: () -> T): T {
+        private fun <T> inRootContext(action: () -> T): T {
             val previous = Context.ROOT.attach()
             try {
                 return action()
@@ -105,7 +105,7 @@
             }
         }
 
-        private fun <T> StreamObserver<T>.answer(message: T) {
+        private fun <T> StreamObserver<T>.respond(message: T) {
             onNext(message)
             onCompleted()
         }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcPeers.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcPeers.kt
@@ -26,8 +26,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Calls other nodes by gRPC over one channel for each. A call that passes its deadline without an answer makes the
- * channel open a fresh connection for the next one, because the old one may have gone silent for good.
+ * gRPC client for calls to other nodes, with one channel per node. When a call exceeds its deadline, the channel opens
+ * a new connection for the next call, because the old one may be dead without having been closed.
  */
 public class GrpcPeers : PeerPort, AutoCloseable {
     private val channels = ConcurrentHashMap<VmName, PeerChannel>()
@@ -99,9 +99,9 @@
         }
     }
 
-    private fun channelTo(peer: VmRecord): ManagedChannel = channels.compute(peer.name) { _, known ->
-        if (known != null && known.address == peer.address) return@compute known
-        known?.channel?.shutdown()
+    private fun channelTo(peer: VmRecord): ManagedChannel = channels.compute(peer.name) { _, current ->
+        if (current != null && current.address == peer.address) return@compute current
+        current?.channel?.shutdown()
         PeerChannel(peer.address, openChannel(peer.address))
     }!!.channel
 
@@ -113,20 +113,20 @@
 
     private fun StatusRuntimeException.toPeerFailure(peer: VmName): PeerFailure {
         val detail = "node $peer: ${status.code} ${status.description.orEmpty()}".trim()
-        return if (isRefusedConnection()) PeerFailure.NotSent(peer, detail) else PeerFailure.NoAnswer(peer, detail)
+        return if (isConnectionRefused()) PeerFailure.NotSent(peer, detail) else PeerFailure.NoAnswer(peer, detail)
     }
 
-    private fun StatusRuntimeException.isRefusedConnection(): Boolean =
+    private fun StatusRuntimeException.isConnectionRefused(): Boolean =
         status.code == Status.Code.UNAVAILABLE &&
             generateSequence(status.cause) { it.cause }.any { it is ConnectException }
 
     private class PeerChannel(val address: String, val channel: ManagedChannel)
 
     public companion object {
-        /** Largest message between nodes, in bytes. */
+        /** Size limit of a message between nodes, in bytes. */
         public const val MAXIMUM_MESSAGE_BYTES: Int = 16 * 1024 * 1024
 
-        /** Time that an answer at the deadline may take to arrive. */
+        /** Time that an answer sent at the deadline of the request has to arrive. */
         public val ANSWER_GRACE: Duration = 250.milliseconds
 
         private const val COMPRESSION = "gzip"
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/PeerPort.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/PeerPort.kt
@@ -16,23 +16,23 @@
     /** The node at the other end. */
     public val peer: VmName
 
-    /** Text for logs and callers. */
+    /** Description for logs and for callers. */
     public val detail: String
 
     /** The call never reached the node. */
     public data class NotSent(override val peer: VmName, override val detail: String) : PeerFailure
 
-    /** No answer came; the call may have taken effect. */
+    /** No answer arrived; the call may have taken effect. */
     public data class NoAnswer(override val peer: VmName, override val detail: String) : PeerFailure
 }
 
-/** The primary of a database group, as nodes pass it on. */
+/** The primary of a database group in [term], as gossiped between nodes. */
 public data class PrimaryRecord(val database: DatabaseName, val term: Term, val primary: MemberName)
 
 /**
- * News that two nodes exchange; one exchange is also the probe of the receiver.
+ * Records that two nodes exchange; an exchange also serves as a liveness probe of the receiver.
  *
- * @property full whether the reply should hold everything that the receiver knows.
+ * @property full whether the reply should contain all records of the receiver.
  */
 public data class GossipMessage(
     val sender: VmRecord,
@@ -43,41 +43,41 @@
 )
 
 /**
- * What a node knows of a member from its own calls.
+ * What a node observed of a member in its own calls.
  *
- * @property sinceLastResponse time since the member last answered this node, or null where it never did.
+ * @property sinceLastResponse time since the member last answered the node, or null if it never did.
  */
 public data class MemberObservation(val sinceLastResponse: Duration?, val acceptedTerm: Term)
 
 /**
- * What a node passes on in place of the platform.
+ * Configuration and session keys that one node provides to another in place of the platform.
  *
- * @property configuration the configuration in force where it is newer than the known one, else null.
- * @property sessionKeys the keys that sign session tokens, as the platform holds them; null where not known.
+ * @property configuration the current configuration if it is newer than the one that the requester has, else null.
+ * @property sessionKeys the keys that sign session tokens, as stored by the platform; null if unknown.
  */
 public data class PeerConfiguration(val configuration: FleetConfiguration?, val sessionKeys: String?) {
     override fun toString(): String = "PeerConfiguration(number=${configuration?.number})"
 }
 
-/** The other nodes, as one node uses them. Each call waits at most the given time. */
+/** Calls to other nodes. Each call waits at most the given time. */
 public interface PeerPort {
-    /** Runs work at a member through the connections that [peer] holds. */
+    /** Runs work at a member over the member connections of [peer]. */
     public fun execute(peer: VmRecord, request: RelayRequest): Either<PeerFailure, RelayReply>
 
-    /** Exchanges news with [peer]. */
+    /** Exchanges records with [peer]. */
     public fun gossip(peer: VmRecord, message: GossipMessage, timeout: Duration): Either<PeerFailure, GossipMessage>
 
-    /** Asks [peer] whether [target] answers it. */
+    /** Asks [peer] to probe [target]; returns whether [target] answered. */
     public fun probeIndirectly(peer: VmRecord, target: VmRecord, timeout: Duration): Either<PeerFailure, Boolean>
 
-    /** Returns the configuration of [peer] if its number is above [known], and its session keys. */
+    /** Fetches the session keys of [peer], and its configuration if the number of that is above [known]. */
     public fun configuration(
         peer: VmRecord,
         known: Long,
         timeout: Duration,
     ): Either<PeerFailure, PeerConfiguration>
 
-    /** Asks when [peer] last heard from [member]. */
+    /** Asks [peer] when [member] last answered it. */
     public fun memberObservation(
         peer: VmRecord,
         database: DatabaseName,
@@ -85,24 +85,24 @@
         timeout: Duration,
     ): Either<PeerFailure, MemberObservation>
 
-    /** Releases the connections to [peer], which is gone. Calls that wait for it end without an answer. */
+    /** Closes the connections to [peer], which has failed. Calls in flight end with [PeerFailure.NoAnswer]. */
     public fun disconnect(peer: VmName)
 }
 
-/** What a node answers to other nodes. */
+/** Serves the calls of other nodes. */
 public interface PeerService {
-    /** Serves [RelayRequest]. */
+    /** Runs relayed work at a member. */
     public fun execute(request: RelayRequest): RelayReply
 
-    /** Takes in news and answers with its own. */
+    /** Merges the records of [message] and returns the records of this node. */
     public fun gossip(message: GossipMessage): GossipMessage
 
-    /** Probes [address] of the node [name]. */
+    /** Probes the node [name] at [address]; returns whether it answered. */
     public fun probeIndirectly(name: VmName, address: String): Boolean
 
-    /** Returns the configuration in force if its number is above [known], and the session keys. */
+    /** Returns the session keys, and the current configuration if its number is above [known]. */
     public fun configuration(known: Long): PeerConfiguration
 
-    /** Tells when this node last heard from [member]. */
+    /** Returns when [member] last answered this node. */
     public fun memberObservation(database: DatabaseName, member: MemberName): MemberObservation
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/operator/OperatorApiSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/operator/OperatorApiSpec.kt
@@ -20,7 +20,7 @@
     @Nested
     inner class `health` {
         @Test
-        fun `is ready until the check fails, and live all along`() {
+        fun `is ready until the readiness check fails, and stays live`() {
             expectThat(get("/health/ready").status.code).isEqualTo(200)
             ready = Health(false, "stopping")
             expectThat(get("/health/ready").status.code).isEqualTo(503)
@@ -32,14 +32,14 @@
     @Nested
     inner class `pages` {
         @Test
-        fun `come with their content types`() {
+        fun `have their content types`() {
             expectThat(get("/").header("Content-Type")).isEqualTo("text/html; charset=utf-8")
             expectThat(get("/").bodyString()).isEqualTo("<p>Today went well.</p>")
             expectThat(get("/status").header("Content-Type")).isEqualTo("application/json; charset=utf-8")
         }
 
         @Test
-        fun `show the metrics`() {
+        fun `include the metrics in the Prometheus format`() {
             metrics.configurationInForce(7)
             expectThat(get("/metrics").header("Content-Type")).isEqualTo(NodeMetrics.CONTENT_TYPE)
             expectThat(get("/metrics").bodyString().lines().last { it.isNotEmpty() && !it.startsWith("#") })
@@ -47,7 +47,7 @@
         }
 
         @Test
-        fun `do not include the callers' routes`() {
+        fun `do not include the routes of callers`() {
             expectThat(get("/v1/openapi.json").status.code).isEqualTo(404)
         }
     }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
@@ -57,29 +57,29 @@
     }
 
     @Test
-    fun `runs relayed work outside the call, so that what it opens outlives the call`() {
-        var during: Context? = null
-        onExecute = { during = Context.current() }
+    fun `runs relayed work outside the context of the call, so that connections it opens outlive the call`() {
+        var executionContext: Context? = null
+        onExecute = { executionContext = Context.current() }
         val reply = peers.execute(record, request)
         expectThat(reply.isRight()).isTrue()
-        expectThat(during).isSameInstanceAs(Context.ROOT)
+        expectThat(executionContext).isSameInstanceAs(Context.ROOT)
     }
 
     @Test
-    fun `carries the answer back whole`() {
+    fun `returns the complete answer of relayed work`() {
         expectThat(peers.execute(record, request).getOrNull()?.result).isEqualTo(answer.right())
     }
 
     @Test
-    fun `ends a call without an answer when its node is forgotten`() {
-        val entered = CountDownLatch(1)
+    fun `ends a call in flight without an answer when its node is disconnected`() {
+        val started = CountDownLatch(1)
         val release = CountDownLatch(1)
         onExecute = {
-            entered.countDown()
+            started.countDown()
             release.await(WAIT_SECONDS, TimeUnit.SECONDS)
         }
         val result = CompletableFuture.supplyAsync({ peers.execute(record, request) }, executor)
-        entered.await(WAIT_SECONDS, TimeUnit.SECONDS)
+        started.await(WAIT_SECONDS, TimeUnit.SECONDS)
         peers.disconnect(vm)
         val failure = result.get(WAIT_SECONDS, TimeUnit.SECONDS).leftOrNull()
         release.countDown()
