--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/CallerApi.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/CallerApi.kt
@@ -45,14 +45,15 @@
 import kotlin.time.Duration
 
 /**
- * The callers' HTTP interface: authenticates, checks and bounds each request, hands it to [handle] and answers with
- * its result or with problem details (RFC 9457). `openapi.json` describes it; it is served at `/v1/openapi.json`.
+ * HTTP API for callers: authenticates and validates each request, limits the requests in flight, passes the request to
+ * [handle] and responds with its result or with problem details (RFC 9457). The API is described by `openapi.json`,
+ * which is served at `/v1/openapi.json`.
  *
- * @param configuration the configuration in force.
- * @param handle serves a checked request; blocks at most until the request's deadline.
- * @param limits bounds the requests in flight.
- * @param newRequestId makes a request identity that is unique in the fleet.
- * @param maximumAnswerBytes largest answer in bytes; a larger one is replaced by a problem, never cut short.
+ * @param configuration returns the current configuration.
+ * @param handle serves a validated request; blocks at most until the deadline of the request.
+ * @param limits limits the requests in flight.
+ * @param newRequestId generates a request ID that is unique in the fleet.
+ * @param maximumAnswerBytes size limit of an answer in bytes; a larger one is replaced by a problem, never truncated.
  */
 public class CallerApi(
     private val configuration: () -> FleetConfiguration,
@@ -66,7 +67,7 @@
     private val newRequestId: () -> RequestId,
     private val maximumAnswerBytes: Int = DEFAULT_MAXIMUM_ANSWER_BYTES,
 ) {
-    private val reader = RequestReader(tokens, handles)
+    private val parser = RequestParser(tokens, handles)
 
     init {
         metrics.gauge("kumquatknot_requests_in_flight", "Requests of callers in flight at this VM") {
@@ -74,32 +75,32 @@
         }
     }
 
-    /** Returns the handler of all callers' routes. */
+    /** Returns the HTTP handler of all caller routes. */
     public fun handler(): HttpHandler {
-        val operations: RoutingHttpHandler = ROUTES.map { it.template bind it.method to serve(it.operation) }.reduce {
+        val operations: RoutingHttpHandler = ROUTES.map { it.template bind it.method to handler(it.operation) }.reduce {
             all,
             next,
             ->
             routes(all, next)
         }
-        val description = OPENAPI_PATH bind Method.GET to { openApi() }
-        val known = routes(operations, description)
+        val openApiRoute = OPENAPI_PATH bind Method.GET to { openApi() }
+        val knownRoutes = routes(operations, openApiRoute)
         return { request ->
-            if (hasReadablePath(request)) {
-                known(request).let { if (isRoutingMiss(it)) unknownRoute(request, it) else it }
+            if (hasDecodablePath(request)) {
+                knownRoutes(request).let { if (isUnmatched(it)) unmatchedRoute(request, it) else it }
             } else {
-                unreadablePath()
+                undecodablePath()
             }
         }
     }
 
-    private fun serve(operation: Operation): HttpHandler = { request ->
-        val arrival = clock.elapsed()
+    private fun handler(operation: Operation): HttpHandler = { request ->
+        val arrivedAt = clock.elapsed()
         val id = newRequestId()
-        reader
-            .team(request, configuration())
-            .onLeft { reject(it, id) }
-            .fold({ it.toResponse(id) }, { team -> serve(operation, request, id, team, arrival) })
+        parser
+            .authenticate(request, configuration())
+            .onLeft { recordRejection(it, id) }
+            .fold({ it.toResponse(id) }, { team -> serve(operation, request, id, team, arrivedAt) })
     }
 
     private fun serve(
@@ -107,59 +108,59 @@
         request: Request,
         id: RequestId,
         team: TeamConfiguration,
-        arrival: Duration,
+        arrivedAt: Duration,
     ): Response {
         val token =
-            reader.token(request, team).getOrElse {
-                reject(it, id)
+            parser.sessionToken(request, team).getOrElse {
+                recordRejection(it, id)
                 return it.toResponse(id)
             }
-        return reader.read(operation, request, id, team, token, arrival).fold(
+        return parser.parse(operation, request, id, team, token, arrivedAt).fold(
             {
-                reject(it, id)
+                recordRejection(it, id)
                 it.toResponse(id).withSession(token)
             },
-            { admit(operation, it, arrival) },
+            { admit(operation, it, arrivedAt) },
         )
     }
 
-    private fun admit(operation: Operation, request: CallerRequest, arrival: Duration): Response {
+    private fun admit(operation: Operation, request: CallerRequest, arrivedAt: Duration): Response {
         val teamKind = TeamKind(request.team, request.kind.name)
         return limits
             .enter(teamKind, request.kind.rank, operation.releasesResources)
             .mapLeft { FailedRequest(Problem.of(it.toFailure()), request.token) }
             .flatMap {
                 try {
-                    handleSafely(request)
+                    handleCatching(request)
                 } finally {
                     limits.leave(teamKind)
                 }
-            }.fold({ failed(request, it, arrival) }, { completed(request, it, arrival) })
+            }.fold({ failureResponse(request, it, arrivedAt) }, { successResponse(request, it, arrivedAt) })
     }
 
-    @Suppress("TooGenericExceptionCaught") // The caller gets a typed answer whatever breaks.
-    private fun handleSafely(request: CallerRequest): Either<FailedRequest, CallerReply> =
+    @Suppress("TooGenericExceptionCaught") // The caller gets a typed answer for any exception.
+    private fun handleCatching(request: CallerRequest): Either<FailedRequest, CallerReply> =
         try {
             handle(request).mapLeft { FailedRequest(Problem.of(it.failure), it.token) }
-        } catch (broken: RuntimeException) {
-            events.log(Event.REQUEST_BROKEN, "request" to request.id.value, cause = broken)
+        } catch (exception: RuntimeException) {
+            events.log(Event.REQUEST_BROKEN, "request" to request.id.value, cause = exception)
             val token = if (request.work is Work.Read) request.token else request.token.withUnresolved(request.database)
-            FailedRequest(Problem.internal(), token).left()
+            FailedRequest(Problem.internalError(), token).left()
         }
 
-    private fun failed(request: CallerRequest, failed: FailedRequest, arrival: Duration): Response {
+    private fun failureResponse(request: CallerRequest, failed: FailedRequest, arrivedAt: Duration): Response {
         val (type, _, failure) = failed.problem
-        metrics.requestFailed(request.team, request.kind, type, failure.effect, clock.elapsed() - arrival)
-        if (failure.effect == Effect.UNKNOWN) logUnknown(request, failure)
+        metrics.requestFailed(request.team, request.kind, type, failure.effect, clock.elapsed() - arrivedAt)
+        if (failure.effect == Effect.UNKNOWN) logUnknownOutcome(request, failure)
         return failed.problem.toResponse(request.id).withSession(failed.token)
     }
 
-    private fun completed(request: CallerRequest, reply: CallerReply, arrival: Duration): Response {
-        val body = Json.encodeToString(JsonObject.serializer(), answer(request, reply)).toByteArray()
+    private fun successResponse(request: CallerRequest, reply: CallerReply, arrivedAt: Duration): Response {
+        val body = Json.encodeToString(JsonObject.serializer(), renderAnswer(request, reply)).toByteArray()
         if (body.size > maximumAnswerBytes) {
-            return failed(request, FailedRequest(tooLarge(body.size), reply.token), arrival)
+            return failureResponse(request, FailedRequest(answerTooLarge(body.size), reply.token), arrivedAt)
         }
-        metrics.requestCompleted(request.team, request.kind, clock.elapsed() - arrival)
+        metrics.requestCompleted(request.team, request.kind, clock.elapsed() - arrivedAt)
         if (request.work is Work.Read) reply.role?.let { metrics.readServed(request.team, request.kind, it) }
         if (reply.repeated) metrics.answerRepeated(request.team, request.kind)
         return Response(Status.OK)
@@ -168,12 +169,12 @@
             .withSession(reply.token)
     }
 
-    private fun tooLarge(size: Int): Problem {
+    private fun answerTooLarge(size: Int): Problem {
         val detail = "the answer has $size bytes, at most $maximumAnswerBytes are sent; ask for fewer rows"
         return Problem.of(Failure(FailureReason.TOO_LARGE, Effect.COMPLETED, Step.EXECUTE, Peer.Local, detail))
     }
 
-    private fun answer(request: CallerRequest, reply: CallerReply): JsonObject =
+    private fun renderAnswer(request: CallerRequest, reply: CallerReply): JsonObject =
         buildJsonObject {
             put("results", StatementJson.render(reply.results))
             reply.servedBy?.let { put("servedBy", it.value) }
@@ -185,14 +186,14 @@
             }
         }
 
-    private fun reject(problem: Problem, id: RequestId) {
+    private fun recordRejection(problem: Problem, id: RequestId) {
         metrics.callerRejected(problem.failure.reason)
         if (problem.failure.reason == FailureReason.UNAUTHENTICATED) {
             events.log(Event.CALLER_REJECTED, "request" to id.value, "detail" to problem.failure.detail)
         }
     }
 
-    private fun logUnknown(request: CallerRequest, failure: Failure) {
+    private fun logUnknownOutcome(request: CallerRequest, failure: Failure) {
         events.log(
             Event.OUTCOME_UNKNOWN,
             "request" to request.id.value,
@@ -210,30 +211,30 @@
         tokens.encode(token),
     )
 
-    private fun isRoutingMiss(response: Response): Boolean =
+    private fun isUnmatched(response: Response): Boolean =
         response.header("Content-Type") == null &&
             (response.status == Status.NOT_FOUND || response.status == Status.METHOD_NOT_ALLOWED)
 
-    private fun unknownRoute(request: Request, miss: Response): Response {
-        val what = "${request.method} ${request.uri.path}"
+    private fun unmatchedRoute(request: Request, unmatched: Response): Response {
+        val target = "${request.method} ${request.uri.path}"
         val problem =
-            if (miss.status == Status.METHOD_NOT_ALLOWED) {
-                Problem.methodNotAllowed("$what is not served")
+            if (unmatched.status == Status.METHOD_NOT_ALLOWED) {
+                Problem.methodNotAllowed("$target is not served")
             } else {
-                Problem.missing("route", Step.PARSE, "$what is not served; see $OPENAPI_PATH")
+                Problem.missing("route", Step.PARSE, "$target is not served; see $OPENAPI_PATH")
             }
         metrics.callerRejected(problem.failure.reason)
         return problem.toResponse(newRequestId())
     }
 
-    private fun hasReadablePath(request: Request): Boolean =
+    private fun hasDecodablePath(request: Request): Boolean =
         Either.catchOrThrow<IllegalArgumentException, String> { request.uri.path.toPathSegmentDecoded() }.isRight()
 
-    private fun unreadablePath(): Response {
+    private fun undecodablePath(): Response {
         val reason = FailureReason.INVALID_REQUEST
         metrics.callerRejected(reason)
         val detail = "the path holds a % that two hexadecimal digits do not follow"
-        return Problem.of(Problem.refused(reason, Step.PARSE, detail)).toResponse(newRequestId())
+        return Problem.of(Problem.callerError(reason, Step.PARSE, detail)).toResponse(newRequestId())
     }
 
     private fun openApi(): Response {
@@ -246,20 +247,20 @@
 
     private data class FailedRequest(val problem: Problem, val token: SessionToken)
 
-    /** One route of the interface: its [method], its path [template] and what it does. */
+    /** One route of the API: its HTTP [method], its path [template] and its operation. */
     internal data class Route(val method: Method, val template: String, val operation: Operation)
 
     public companion object {
-        /** Largest answer in bytes, where nothing else is said. */
+        /** Default size limit of an answer, in bytes. */
         public const val DEFAULT_MAXIMUM_ANSWER_BYTES: Int = 4_194_304
 
-        /** Path of the interface's description. */
+        /** Path of the OpenAPI document. */
         public const val OPENAPI_PATH: String = "/v1/openapi.json"
 
         private const val OPENAPI_RESOURCE = "/openapi.json"
         private const val DATABASE_PATH = "/v1/databases/{database}"
 
-        /** All routes that serve databases. */
+        /** All routes that run operations at databases. */
         internal val ROUTES: List<Route> =
             listOf(
                 Route(Method.POST, "$DATABASE_PATH/read", Operation.READ),
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/CallerHeaders.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/CallerHeaders.kt
@@ -1,6 +1,6 @@
 package dev.kumquatknot.proxy.caller
 
-/** Names of the HTTP headers that callers use. */
+/** Names of the HTTP headers of the caller API. */
 internal object CallerHeaders {
     const val AUTHORIZATION = "Authorization"
     const val KIND = "Kumquatknot-Kind"
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/Problem.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/Problem.kt
@@ -19,19 +19,19 @@
  * Problem details of a failed request (RFC 9457).
  *
  * @property type last part of the problem's URN, stable across versions.
- * @property failure what failed, where, and what is known of the effect.
+ * @property failure what failed, at which step and peer, and what is known of its effect.
  */
 internal data class Problem(val type: String, val status: Int, val failure: Failure) {
-    /** Returns the answer to [request]. */
+    /** Returns the HTTP response to [request]. */
     fun toResponse(request: RequestId): Response =
         Response(Status(status, title()))
             .header("Content-Type", CONTENT_TYPE)
-            .headers(hints())
+            .headers(retryAndAuthenticationHeaders())
             .body(Json.encodeToString(JsonObject.serializer(), details(request)))
 
-    private fun hints(): List<Pair<String, String>> =
+    private fun retryAndAuthenticationHeaders(): List<Pair<String, String>> =
         listOfNotNull(
-            failure.retryAfter?.let { "Retry-After" to it.wholeSeconds().toString() },
+            failure.retryAfter?.let { "Retry-After" to it.roundedUpSeconds().toString() },
             if (status == UNAUTHORIZED) "WWW-Authenticate" to "Bearer" else null,
         )
 
@@ -50,7 +50,7 @@
 
     private fun title(): String = type.replace('-', ' ').replaceFirstChar { it.uppercase() }
 
-    private fun Duration.wholeSeconds(): Long {
+    private fun Duration.roundedUpSeconds(): Long {
         val seconds = toLong(DurationUnit.SECONDS)
         return if (inWholeMilliseconds % MILLIS_PER_SECOND == 0L) seconds else seconds + 1
     }
@@ -73,30 +73,30 @@
         private const val UNAVAILABLE = 503
         private const val GATEWAY_TIMEOUT = 504
 
-        /** Returns the problem that tells a caller of [failure]. */
+        /** Returns the problem that reports [failure] to a caller. */
         fun of(failure: Failure): Problem = Problem(failure.reason.label(), statusOf(failure), failure)
 
-        /** Returns the problem of a request that names a team, database or kind that is [missing]. */
+        /** Returns the problem of a request for something that does not exist; [missing] names it, such as `route`. */
         fun missing(missing: String, step: Step, detail: String): Problem =
-            Problem("unknown-$missing", NOT_FOUND, refused(FailureReason.INVALID_REQUEST, step, detail))
+            Problem("unknown-$missing", NOT_FOUND, callerError(FailureReason.INVALID_REQUEST, step, detail))
 
-        /** Returns the problem of a method that the route does not serve. */
+        /** Returns the problem of an HTTP method that the route does not support. */
         fun methodNotAllowed(detail: String): Problem =
             Problem(
                 "method-not-allowed",
                 METHOD_NOT_ALLOWED,
-                refused(FailureReason.INVALID_REQUEST, Step.PARSE, detail),
+                callerError(FailureReason.INVALID_REQUEST, Step.PARSE, detail),
             )
 
-        /** Returns the problem of a request during which the node broke: its effect is unknown. */
-        fun internal(): Problem {
+        /** Returns the problem of a request that failed with an unexpected exception: its effect is unknown. */
+        fun internalError(): Problem {
             val detail = "the VM met an unexpected error"
             val failure = Failure(FailureReason.CONNECTION_LOST, Effect.UNKNOWN, Step.EXECUTE, Peer.Local, detail)
             return Problem("internal-error", INTERNAL_ERROR, failure)
         }
 
-        /** Returns a failure of the caller's own making, found before anything ran. */
-        fun refused(reason: FailureReason, step: Step, detail: String): Failure =
+        /** Returns a failure that the caller caused, detected before any work ran. */
+        fun callerError(reason: FailureReason, step: Step, detail: String): Failure =
             Failure(reason, Effect.NOT_RUN, step, Peer.Caller, detail)
 
         private fun statusOf(failure: Failure): Int =
@@ -109,10 +109,10 @@
                 FailureReason.TOO_LARGE -> CONTENT_TOO_LARGE
                 FailureReason.STATEMENT_FAILED, FailureReason.KEY_REUSED -> UNPROCESSABLE
                 FailureReason.DEADLINE_PASSED, FailureReason.UNCONFIRMED -> GATEWAY_TIMEOUT
-                else -> if (failure.effect == Effect.NOT_RUN) refusalStatus(failure.reason) else BAD_GATEWAY
+                else -> if (failure.effect == Effect.NOT_RUN) notRunStatus(failure.reason) else BAD_GATEWAY
             }
 
-        private fun refusalStatus(reason: FailureReason): Int =
+        private fun notRunStatus(reason: FailureReason): Int =
             when (reason) {
                 FailureReason.OVERLOADED, FailureReason.DEADLINE_UNREACHABLE -> TOO_MANY_REQUESTS
                 else -> UNAVAILABLE
@@ -120,10 +120,10 @@
     }
 }
 
-/** Returns the name of a constant as callers see it: lower case with hyphens. */
+/** Returns the name of an enum constant in the form that callers see: lower case with hyphens. */
 internal fun Enum<*>.label(): String = name.lowercase().replace('_', '-')
 
-/** Returns the other end of a failure as callers see it. */
+/** Returns the peer of a failure in the form that callers see. */
 internal fun Peer.label(): String =
     when (this) {
         Peer.Caller -> "caller"
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/RequestReader.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/RequestParser.kt
@@ -30,7 +30,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What a route does. */
+/** Operation that a route performs. */
 internal enum class Operation {
     READ,
     WRITE,
@@ -41,20 +41,20 @@
     RESOLVE,
     ;
 
-    /** Whether the operation belongs to an interactive transaction that has begun. */
+    /** Whether the operation belongs to an interactive transaction that was begun earlier. */
     val inTransaction: Boolean get() = this == RUN || this == COMMIT || this == ROLLBACK
 
-    /** Whether the operation makes changes of data last. */
-    val changesData: Boolean get() = this == WRITE || this == COMMIT
+    /** Whether the operation commits changes of data. */
+    val commitsChanges: Boolean get() = this == WRITE || this == COMMIT
 
-    /** Whether the operation gives resources back or only asks, so that no rank bounds it. */
+    /** Whether the operation releases resources or only queries an outcome: the limits per rank do not apply to it. */
     val releasesResources: Boolean get() = this == COMMIT || this == ROLLBACK || this == RESOLVE
 }
 
-/** Turns HTTP requests into checked requests of callers. Nothing has run when it raises a problem. */
-internal class RequestReader(private val tokens: TokenCodec, private val handles: TransactionHandleCodec) {
-    /** Returns the team whose key the request carries. */
-    fun team(request: Request, configuration: FleetConfiguration): Either<Problem, TeamConfiguration> =
+/** Parses and validates callers' HTTP requests. When it returns a problem, no work has run. */
+internal class RequestParser(private val tokens: TokenCodec, private val handles: TransactionHandleCodec) {
+    /** Returns the team whose key the request carries in its authorization header. */
+    fun authenticate(request: Request, configuration: FleetConfiguration): Either<Problem, TeamConfiguration> =
         either {
             val header = request.header(CallerHeaders.AUTHORIZATION)
             ensure(header != null && header.startsWith(BEARER, ignoreCase = true)) {
@@ -65,36 +65,40 @@
         }
 
     /**
-     * Returns the session token that the request carries, an empty one where it carries none. Several tokens, divided
-     * by commas, are merged: a session with parallel requests has seen what all their answers say.
+     * Returns the session token of the request, or an empty one if the request has none. Several tokens, separated by
+     * commas, are merged: a session with parallel requests has observed the state of all their answers.
      */
-    fun token(request: Request, team: TeamConfiguration): Either<Problem, SessionToken> =
+    fun sessionToken(request: Request, team: TeamConfiguration): Either<Problem, SessionToken> =
         either {
-            val texts = request.headerValues(CallerHeaders.SESSION).flatMap { it.orEmpty().split(',') }
-            ensure(texts.size <= MAXIMUM_TOKENS) { invalid("more than $MAXIMUM_TOKENS session tokens were sent") }
-            texts.fold(SessionToken(team.name)) { merged, text -> merged.mergedWith(token(text.trim(), team.name)) }
+            val encodedTokens = request.headerValues(CallerHeaders.SESSION).flatMap { it.orEmpty().split(',') }
+            ensure(encodedTokens.size <= MAXIMUM_TOKENS) {
+                invalid("more than $MAXIMUM_TOKENS session tokens were sent")
+            }
+            encodedTokens.fold(SessionToken(team.name)) { merged, text ->
+                merged.mergedWith(decodeToken(text.trim(), team.name))
+            }
         }
 
-    private fun Raise<Problem>.token(text: String, team: TeamName): SessionToken =
+    private fun Raise<Problem>.decodeToken(text: String, team: TeamName): SessionToken =
         tokens.decode(text, team).mapLeft {
-            refused(FailureReason.INVALID_TOKEN, Step.AUTHENTICATE, it.detail)
+            rejected(FailureReason.INVALID_TOKEN, Step.AUTHENTICATE, it.detail)
         }.bind()
 
-    /** Returns the request for [operation] of [team], which arrived at [now]. */
-    fun read(
+    /** Parses a request for [operation] by [team] that arrived at [arrivedAt]. */
+    fun parse(
         operation: Operation,
         request: Request,
         id: RequestId,
         team: TeamConfiguration,
         token: SessionToken,
-        now: Duration,
+        arrivedAt: Duration,
     ): Either<Problem, CallerRequest> =
         either {
             val database = database(request, team)
             val transaction = if (operation.inTransaction) transaction(request, team, database) else null
             val kind = kind(request, team, transaction)
             ensureAccess(operation, kind)
-            val key = key(operation, request, kind)
+            val key = idempotencyKey(operation, request, kind)
             CallerRequest(
                 id = id,
                 team = team.name,
@@ -103,14 +107,14 @@
                 work = work(operation, request, kind, transaction?.handle),
                 token = token,
                 key = key,
-                deadline = now + allowed(request, CallerHeaders.DEADLINE, kind.deadlineMillis),
+                deadline = arrivedAt + boundedDuration(request, CallerHeaders.DEADLINE, kind.deadlineMillis),
             )
         }
 
     private fun Raise<Problem>.database(request: Request, team: TeamConfiguration): DatabaseName {
         val name = DatabaseName(request.path("database").orEmpty())
         ensure(name in team.databases) {
-            refused(FailureReason.FORBIDDEN, Step.AUTHORIZE, "the team ${team.name} may not use the database $name")
+            rejected(FailureReason.FORBIDDEN, Step.AUTHORIZE, "the team ${team.name} may not use the database $name")
         }
         return name
     }
@@ -122,7 +126,7 @@
     ): TransactionReference {
         val reference =
             handles.decode(request.path("handle").orEmpty(), team.name).mapLeft {
-                refused(FailureReason.INVALID_REQUEST, Step.AUTHENTICATE, it.detail)
+                rejected(FailureReason.INVALID_REQUEST, Step.AUTHENTICATE, it.detail)
             }.bind()
         ensure(reference.database == database) {
             invalid("the transaction belongs to the database ${reference.database}")
@@ -135,11 +139,13 @@
         team: TeamConfiguration,
         transaction: TransactionReference?,
     ): KindConfiguration {
-        val stated = request.header(CallerHeaders.KIND)?.let(::KindName)
-        val name = ensureNotNull(transaction?.kind ?: stated) { invalid("the header ${CallerHeaders.KIND} is missing") }
-        ensure(stated == null || stated == name) { invalid("the transaction is of the kind $name") }
+        val requested = request.header(CallerHeaders.KIND)?.let(::KindName)
+        val name = ensureNotNull(transaction?.kind ?: requested) {
+            invalid("the header ${CallerHeaders.KIND} is missing")
+        }
+        ensure(requested == null || requested == name) { invalid("the transaction is of the kind $name") }
         return ensureNotNull(team.kind(name)) {
-            refused(FailureReason.UNKNOWN_KIND, Step.AUTHORIZE, "the team ${team.name} has no kind of work $name")
+            rejected(FailureReason.UNKNOWN_KIND, Step.AUTHORIZE, "the team ${team.name} has no kind of work $name")
         }
     }
 
@@ -147,11 +153,11 @@
         val needed = if (operation == Operation.READ) Access.READ else Access.WRITE
         ensure(kind.access == needed) {
             val detail = "the kind ${kind.name} is for ${kind.access.label()}s, this operation needs ${needed.label()}"
-            refused(FailureReason.FORBIDDEN, Step.AUTHORIZE, detail)
+            rejected(FailureReason.FORBIDDEN, Step.AUTHORIZE, detail)
         }
     }
 
-    private fun Raise<Problem>.key(
+    private fun Raise<Problem>.idempotencyKey(
         operation: Operation,
         request: Request,
         kind: KindConfiguration,
@@ -159,9 +165,9 @@
         val header = CallerHeaders.IDEMPOTENCY_KEY
         val text = if (operation == Operation.RESOLVE) request.path("key") else request.header(header)
         if (text == null) {
-            ensure(!operation.changesData || kind.repetition != Repetition.AT_MOST_ONCE) {
+            ensure(!operation.commitsChanges || kind.repetition != Repetition.AT_MOST_ONCE) {
                 val detail = "the kind ${kind.name} runs at most once and needs the header $header"
-                refused(FailureReason.KEY_REQUIRED, Step.PARSE, detail)
+                rejected(FailureReason.KEY_REQUIRED, Step.PARSE, detail)
             }
             return null
         }
@@ -191,11 +197,11 @@
         StatementJson.parse(request.body.payload).mapLeft(::invalid).bind()
 
     private fun Raise<Problem>.maximumAge(request: Request, kind: KindConfiguration): Duration? {
-        val stated = milliseconds(request, CallerHeaders.MAXIMUM_AGE) ?: return null
-        return minOf(stated, kind.maximumAgeMillis ?: stated).milliseconds
+        val requested = milliseconds(request, CallerHeaders.MAXIMUM_AGE) ?: return null
+        return minOf(requested, kind.maximumAgeMillis ?: requested).milliseconds
     }
 
-    private fun Raise<Problem>.allowed(request: Request, header: String, limitMillis: Long): Duration =
+    private fun Raise<Problem>.boundedDuration(request: Request, header: String, limitMillis: Long): Duration =
         minOf(milliseconds(request, header) ?: limitMillis, limitMillis).milliseconds
 
     private fun Raise<Problem>.milliseconds(request: Request, header: String): Long? {
@@ -205,12 +211,12 @@
         return value
     }
 
-    private fun unauthenticated(detail: String) = refused(FailureReason.UNAUTHENTICATED, Step.AUTHENTICATE, detail)
+    private fun unauthenticated(detail: String) = rejected(FailureReason.UNAUTHENTICATED, Step.AUTHENTICATE, detail)
 
-    private fun invalid(detail: String) = refused(FailureReason.INVALID_REQUEST, Step.PARSE, detail)
+    private fun invalid(detail: String) = rejected(FailureReason.INVALID_REQUEST, Step.PARSE, detail)
 
-    private fun refused(reason: FailureReason, step: Step, detail: String): Problem =
-        Problem.of(Problem.refused(reason, step, detail))
+    private fun rejected(reason: FailureReason, step: Step, detail: String): Problem =
+        Problem.of(Problem.callerError(reason, step, detail))
 
     private companion object {
         const val BEARER = "Bearer "
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/StatementJson.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/StatementJson.kt
@@ -20,26 +20,26 @@
 import java.nio.charset.CharacterCodingException
 
 /**
- * Reads statements from JSON bodies and writes results to them. A parameter or cell is a plain JSON scalar: a number
- * without fraction and exponent is a 64-bit integer, any other number a 64-bit floating-point number.
+ * Parses statements from JSON request bodies and renders results as JSON. A parameter or cell is a plain JSON scalar:
+ * a number without fraction and exponent is a 64-bit integer, any other number a 64-bit floating-point number.
  */
 internal object StatementJson {
-    /** Most statements of one request. */
+    /** Maximum number of statements in one request. */
     const val MAXIMUM_STATEMENTS = 100
 
-    /** Most parameters of one statement. */
+    /** Maximum number of parameters in one statement. */
     const val MAXIMUM_PARAMETERS = 1_000
 
     private const val MAXIMUM_DEPTH = 8
     private val NUMBER = Regex("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?")
     private val INTEGER = Regex("-?[0-9]+")
 
-    /** Reads the statements of a request's [body]; the error says what is wrong with it. */
+    /** Parses the statements of a request's [body]; the error describes what is invalid. */
     fun parse(body: ByteBuffer): Either<String, List<Statement>> =
         either {
             val document = decode(body)
             ensure(document is JsonObject) { "the body is not a JSON object" }
-            ensureFields(document, setOf("statements"), "the body")
+            ensureKnownFields(document, setOf("statements"), "the body")
             val statements = document["statements"]
             ensure(statements is JsonArray) { "statements is not an array" }
             ensure(statements.size in 1..MAXIMUM_STATEMENTS) {
@@ -62,7 +62,7 @@
             .bind()
     }
 
-    /** Tells whether [json] nests deeper than [limit], without the recursion that a parser spends on it. */
+    /** Returns whether [json] nests deeper than [limit], without the recursion that a parser needs for it. */
     private fun isDeeperThan(limit: Int, json: String): Boolean {
         var depth = 0
         var inString = false
@@ -83,7 +83,7 @@
 
     private fun Raise<String>.statement(path: String, element: JsonElement): Statement {
         ensure(element is JsonObject) { "$path is not an object" }
-        ensureFields(element, setOf("text", "parameters"), path)
+        ensureKnownFields(element, setOf("text", "parameters"), path)
         val text = element["text"]
         ensure(text is JsonPrimitive && text.isString) { "$path.text is not a string" }
         ensure(text.content.isNotBlank()) { "$path.text is empty" }
@@ -117,7 +117,7 @@
         return SqlValue.Real(real)
     }
 
-    private fun Raise<String>.ensureFields(element: JsonObject, known: Set<String>, path: String) {
+    private fun Raise<String>.ensureKnownFields(element: JsonObject, known: Set<String>, path: String) {
         val unknown = element.keys.firstOrNull { it !in known }
         ensure(unknown == null) { "$path has the unknown field $unknown" }
     }
@@ -134,9 +134,9 @@
             SqlValue.Null -> JsonNull
             is SqlValue.Text -> JsonPrimitive(value.value)
             is SqlValue.Integer -> JsonPrimitive(value.value)
-            is SqlValue.Real -> if (value.value.isFinite()) JsonPrimitive(value.value) else text(value.value)
+            is SqlValue.Real -> if (value.value.isFinite()) JsonPrimitive(value.value) else nonFiniteText(value.value)
             is SqlValue.Bool -> JsonPrimitive(value.value)
         }
 
-    private fun text(value: Double): JsonPrimitive = JsonPrimitive(value.toString())
+    private fun nonFiniteText(value: Double): JsonPrimitive = JsonPrimitive(value.toString())
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/TeamKeys.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/caller/TeamKeys.kt
@@ -5,9 +5,9 @@
 import java.security.MessageDigest
 import java.util.HexFormat
 
-/** Finds the team that a key belongs to, by the key's SHA-256, in a time that does not depend on the key. */
+/** Looks up teams by the SHA-256 of their key, in a time that does not depend on the key. */
 internal object TeamKeys {
-    /** Returns the team whose key is [key], or null. */
+    /** Returns the team whose key is [key], or null if there is none. */
     fun teamOf(key: String, configuration: FleetConfiguration): TeamConfiguration? {
         val hash = hashOf(key).toByteArray()
         return configuration.teams.fold(null as TeamConfiguration?) { found, team ->
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiFixture.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiFixture.kt
@@ -42,7 +42,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A callers' interface of two teams over a handler that the test sets. */
+/** A [CallerApi] with two teams and a request handler that the test sets. */
 internal class CallerApiFixture(capacity: Int = 100, maximumAnswerBytes: Int = 10_000) {
     val pesebre = TeamName("pesebre")
     val nile = TeamName("nile")
@@ -52,7 +52,7 @@
     val handles = TransactionHandleCodec(ByteArray(32) { 2 })
     val metrics = NodeMetrics()
     val limits = EdgeLimits(capacity)
-    val seen = mutableListOf<CallerRequest>()
+    val receivedRequests = mutableListOf<CallerRequest>()
     var now: Duration = 100.seconds
     var answer: (CallerRequest) -> Either<RequestFailure, CallerReply> = { reply(it).right() }
     private val requests = AtomicLong()
@@ -94,7 +94,7 @@
         CallerApi(
             { configuration },
             {
-                synchronized(seen) { seen += it }
+                synchronized(receivedRequests) { receivedRequests += it }
                 answer(it)
             },
             tokens,
@@ -109,8 +109,8 @@
 
     fun post(path: String, kind: String?, vararg headers: Pair<String, String>, body: String = BODY): Response {
         val request = Request(POST, path).header("Authorization", "Bearer $PESEBRE_KEY").body(body)
-        val named = if (kind == null) request else request.header("Kumquatknot-Kind", kind)
-        return handler(headers.fold(named) { all, (name, value) -> all.replaceHeader(name, value) })
+        val requestOfKind = if (kind == null) request else request.header("Kumquatknot-Kind", kind)
+        return handler(headers.fold(requestOfKind) { all, (name, value) -> all.replaceHeader(name, value) })
     }
 
     fun get(path: String, kind: String): Response =
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiPropertySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiPropertySpec.kt
@@ -74,7 +74,7 @@
             parts.joinToString("")
         }
 
-    /** A valid body with a few bytes replaced, dropped or doubled. */
+    /** A valid body in which a few bytes are replaced, removed or repeated. */
     private val mutatedBody =
         arbitrary {
             val bytes = """{"statements":[{"text":"select ?","parameters":[1,-2.5e3,"é",null,true]}]}""".toByteArray()
@@ -88,7 +88,7 @@
             }.toByteArray()
         }
 
-    private fun check(arbitrary: Arb<Request>, iterations: Int = 3_000) =
+    private fun checkResponses(arbitrary: Arb<Request>, iterations: Int = 3_000) =
         runBlocking {
             checkAll(PropTestConfig(seed = seed, iterations = iterations), arbitrary) { expectTyped(api.handler(it)) }
         }
@@ -108,39 +108,39 @@
             .body(Body(ByteBuffer.wrap(body)))
 
     @Nested
-    inner class `whatever the caller sends, it gets a typed answer` {
+    inner class `an invalid request gets a typed problem` {
         @Test
         fun `for random bodies`() {
-            check(arbitrary { request(body = Arb.byteArray(Arb.int(0..200), Arb.byte()).bind()) })
+            checkResponses(arbitrary { request(body = Arb.byteArray(Arb.int(0..200), Arb.byte()).bind()) })
         }
 
         @Test
         fun `for bodies of JSON fragments`() {
-            check(arbitrary { request(body = text.bind().toByteArray()) })
+            checkResponses(arbitrary { request(body = text.bind().toByteArray()) })
         }
 
         @Test
-        fun `for damaged valid bodies`() {
-            check(arbitrary { request(body = mutatedBody.bind()) })
+        fun `for mutated valid bodies`() {
+            checkResponses(arbitrary { request(body = mutatedBody.bind()) })
         }
 
         @Test
         fun `for random headers`() {
             val names =
                 with(CallerHeaders) { listOf(AUTHORIZATION, KIND, SESSION, IDEMPOTENCY_KEY, DEADLINE, MAXIMUM_AGE) }
-            check(arbitrary { request().replaceHeader(Arb.element(names).bind(), text.bind()) })
+            checkResponses(arbitrary { request().replaceHeader(Arb.element(names).bind(), text.bind()) })
         }
 
         @Test
         fun `for random paths`() {
             val ends = listOf("read", "write", "transactions", "transactions/x/commit", "outcomes/k", "")
-            check(arbitrary { request(path = "/v1/databases/${text.bind()}/${Arb.element(ends).bind()}") })
-            check(arbitrary { request(path = "$DATABASE/transactions/${text.bind()}") })
-            check(arbitrary { request(path = "$DATABASE/outcomes/${text.bind()}").method(Method.GET) })
+            checkResponses(arbitrary { request(path = "/v1/databases/${text.bind()}/${Arb.element(ends).bind()}") })
+            checkResponses(arbitrary { request(path = "$DATABASE/transactions/${text.bind()}") })
+            checkResponses(arbitrary { request(path = "$DATABASE/outcomes/${text.bind()}").method(Method.GET) })
         }
 
         @Test
-        fun `for a megabyte of nesting and of digits`() {
+        fun `for bodies of a megabyte of nesting or digits`() {
             listOf("[", "{\"statements\":[", "{\"a\":", "1").forEach { unit ->
                 val body = unit.repeat(1_000_000 / unit.length).toByteArray()
                 expectThat(api.handler(request(body = body)).status.code).isEqualTo(400)
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/CallerApiSpec.kt
@@ -53,7 +53,7 @@
     @Nested
     inner class `a completed request` {
         @Test
-        fun `carries results with exact integers, the member and the session token`() {
+        fun `returns results with exact integers, the member and the session token`() {
             val row =
                 listOf(
                     SqlValue.Integer(Long.MAX_VALUE),
@@ -77,10 +77,10 @@
         }
 
         @Test
-        fun `hands over the parameters as they were sent`() {
+        fun `passes the parameters on as they were sent`() {
             val parameters = """[1,-9223372036854775808,1.5,2e3,"x",true,null]"""
             api.post("$DATABASE/read", "browse", body = """{"statements":[{"text":"q","parameters":$parameters}]}""")
-            val work = api.seen.single().work as Work.Read
+            val work = api.receivedRequests.single().work as Work.Read
             expectThat(work.statements.single().parameters).isEqualTo(
                 listOf(
                     SqlValue.Integer(1),
@@ -95,26 +95,26 @@
         }
 
         @Test
-        fun `takes the session token in`() {
+        fun `uses the session token of the request`() {
             api.post("$DATABASE/read", "browse", "Kumquatknot-Session" to api.tokenOf(api.pesebre))
-            expectThat(api.seen.single().token.pointOf(api.inventory).position).isEqualTo(LogPosition(5))
+            expectThat(api.receivedRequests.single().token.pointOf(api.inventory).position).isEqualTo(LogPosition(5))
         }
 
         @Test
         fun `merges the tokens of parallel answers`() {
-            val seen =
+            val newerToken =
                 SessionToken(
                     api.pesebre,
                     mapOf(api.inventory to HistoryPoint(Term(2), LogPosition(1))),
                     setOf(api.courses),
                 )
-            val tokens = "${api.tokenOf(api.pesebre)}, ${api.tokens.encode(seen)}"
+            val tokens = "${api.tokenOf(api.pesebre)}, ${api.tokens.encode(newerToken)}"
             api.post("$DATABASE/read", "browse", "Kumquatknot-Session" to tokens)
-            expectThat(api.seen.single().token).isEqualTo(seen)
+            expectThat(api.receivedRequests.single().token).isEqualTo(newerToken)
         }
 
         @Test
-        fun `is counted with its duration`() {
+        fun `is recorded in the metrics with its duration`() {
             api.answer = {
                 api.now += 30.milliseconds
                 api.reply(it).right()
@@ -128,11 +128,11 @@
         }
 
         @Test
-        fun `of a repeated key says so`() {
+        fun `with a repeated key is marked as repeated`() {
             api.answer = { api.reply(it).copy(repeated = true).right() }
             val response = api.post("$DATABASE/write", "book", "Idempotency-Key" to "booking-1")
             expectThat(response.field("repeated")).isEqualTo("true")
-            expectThat(api.seen.single().key).isEqualTo(IdempotencyKey("booking-1"))
+            expectThat(api.receivedRequests.single().key).isEqualTo(IdempotencyKey("booking-1"))
         }
 
         @Test
@@ -140,7 +140,7 @@
             val key = ('!'..'~').joinToString("")
             val encoded = URLEncoder.encode(key, Charsets.UTF_8).replace("+", "%20")
             api.get("$DATABASE/outcomes/$encoded", "book")
-            expectThat(api.seen.single().key).isEqualTo(IdempotencyKey(key))
+            expectThat(api.receivedRequests.single().key).isEqualTo(IdempotencyKey(key))
         }
     }
 
@@ -148,11 +148,11 @@
     inner class `the deadline` {
         private fun deadline(vararg headers: Pair<String, String>): Duration {
             api.post("$DATABASE/read", "browse", *headers)
-            return api.seen.last().deadline - api.now
+            return api.receivedRequests.last().deadline - api.now
         }
 
         @Test
-        fun `is the kind's, or the caller's where that is shorter`() {
+        fun `is that of the kind, or that of the caller if it is shorter`() {
             expectThat(deadline()).isEqualTo(2_000.milliseconds)
             expectThat(deadline("Kumquatknot-Deadline-Milliseconds" to "300")).isEqualTo(300.milliseconds)
             expectThat(deadline("Kumquatknot-Deadline-Milliseconds" to "9000")).isEqualTo(2_000.milliseconds)
@@ -164,11 +164,11 @@
         private fun age(kind: String, header: String?): Duration? {
             val headers = listOfNotNull(header?.let { "Kumquatknot-Maximum-Age-Milliseconds" to it }).toTypedArray()
             api.post("$DATABASE/read", kind, *headers)
-            return (api.seen.last().work as Work.Read).maximumAge
+            return (api.receivedRequests.last().work as Work.Read).maximumAge
         }
 
         @Test
-        fun `can only be stricter than the kind's`() {
+        fun `of the caller only takes effect if it is stricter than that of the kind`() {
             expectThat(age("browse", null)).isNull()
             expectThat(age("browse", "1000")).isEqualTo(1_000.milliseconds)
             expectThat(age("browse", "60000")).isEqualTo(5_000.milliseconds)
@@ -179,23 +179,23 @@
     @Nested
     inner class `an interactive transaction` {
         @Test
-        fun `begins, runs and commits under one handle of one kind`() {
+        fun `begins, runs and commits with one handle and one kind`() {
             val started = TransactionHandle(VmName("vm-1"), 7)
             api.answer = { api.reply(it).copy(transaction = started).right() }
             val handle = api.post("$DATABASE/transactions", "book").field("transaction")
             api.post("$DATABASE/transactions/$handle", null)
             api.post("$DATABASE/transactions/$handle/commit", null, "Idempotency-Key" to "k")
             api.post("$DATABASE/transactions/$handle/rollback", "book")
-            val works = api.seen.map { it.work }
+            val works = api.receivedRequests.map { it.work }
             expectThat(works[0]).isEqualTo(Work.Begin)
             expectThat(works[1]).isA<Work.Run>().get { transaction }.isEqualTo(started)
             expectThat(works[2]).isEqualTo(Work.Commit(started))
             expectThat(works[3]).isEqualTo(Work.Rollback(started))
-            expectThat(api.seen.map { it.kind.name.value }.toSet()).isEqualTo(setOf("book"))
+            expectThat(api.receivedRequests.map { it.kind.name.value }.toSet()).isEqualTo(setOf("book"))
         }
 
         @Test
-        fun `commits without key only where the kind may be repeated`() {
+        fun `commits without key only if the kind is idempotent`() {
             val refused = api.post("$DATABASE/transactions/${api.handleOf()}/commit", null)
             expectThat(refused.type()).isEqualTo("key-required")
             val served = api.post("$DATABASE/transactions/${api.handleOf(kind = "clean")}/commit", null)
@@ -204,12 +204,12 @@
     }
 
     @Nested
-    inner class `a question for an outcome` {
+    inner class `a query for an outcome` {
         @Test
-        fun `carries the key of the path`() {
+        fun `passes on the key in the path`() {
             expectThat(api.get("$DATABASE/outcomes/booking-1", "book").status.code).isEqualTo(200)
-            expectThat(api.seen.single().work).isEqualTo(Work.Resolve)
-            expectThat(api.seen.single().key).isEqualTo(IdempotencyKey("booking-1"))
+            expectThat(api.receivedRequests.single().work).isEqualTo(Work.Resolve)
+            expectThat(api.receivedRequests.single().key).isEqualTo(IdempotencyKey("booking-1"))
         }
 
         @Test
@@ -217,7 +217,7 @@
             val key = ('!'..'~').joinToString("")
             val encoded = URLEncoder.encode(key, Charsets.UTF_8).replace("+", "%20")
             api.get("$DATABASE/outcomes/$encoded", "book")
-            expectThat(api.seen.single().key).isEqualTo(IdempotencyKey(key))
+            expectThat(api.receivedRequests.single().key).isEqualTo(IdempotencyKey(key))
         }
     }
 
@@ -226,11 +226,11 @@
         @Test
         fun `never reaches the handler`() {
             refusals().forEach { (_, refuse) -> expectThat(refuse().status.successful).isFalse() }
-            expectThat(api.seen).isEmpty()
+            expectThat(api.receivedRequests).isEmpty()
         }
 
         @Test
-        fun `of a known session carries the token out again`() {
+        fun `with a session token returns the token unchanged`() {
             val token = api.tokenOf(api.pesebre)
             val response = api.post("$DATABASE/write", "book", "Kumquatknot-Session" to token)
             expectThat(response.header("Kumquatknot-Session")).isEqualTo(token)
@@ -240,7 +240,7 @@
     @Nested
     inner class `an answer beyond the limit` {
         @Test
-        fun `fails visibly and keeps the token`() {
+        fun `fails as too large and returns the session token`() {
             val rows = List(2_000) { listOf(SqlValue.Text("costume")) }
             api.answer = { api.reply(it).copy(results = listOf(StatementResult(listOf("c"), rows))).right() }
             val response = api.post("$DATABASE/read", "browse")
@@ -253,37 +253,37 @@
     @Nested
     inner class `an overloaded edge` {
         @Test
-        fun `refuses background work as not run and still serves urgent work`() {
-            val small = CallerApiFixture(capacity = 4)
-            var inner: Response? = null
+        fun `rejects background work as not run and still serves urgent work`() {
+            val smallApi = CallerApiFixture(capacity = 4)
+            var nested: Response? = null
             var urgent: Response? = null
-            small.answer = { request ->
-                if (request.kind.name.value == "browse" && small.limits.inFlight() < 3) {
-                    small.post("$DATABASE/read", "browse").also { inner = inner ?: it }
+            smallApi.answer = { request ->
+                if (request.kind.name.value == "browse" && smallApi.limits.inFlight() < 3) {
+                    smallApi.post("$DATABASE/read", "browse").also { nested = nested ?: it }
                 } else if (request.kind.name.value == "browse") {
-                    urgent = small.post("$DATABASE/read", "counter")
+                    urgent = smallApi.post("$DATABASE/read", "counter")
                 }
-                small.reply(request).right()
+                smallApi.reply(request).right()
             }
-            small.post("$DATABASE/read", "browse")
-            expectThat(inner).isNotNull().get { status.code }.isEqualTo(429)
-            expectThat(inner).isNotNull().get { field("effect") }.isEqualTo("not-run")
-            expectThat(inner).isNotNull().get { header("Retry-After") }.isEqualTo("1")
+            smallApi.post("$DATABASE/read", "browse")
+            expectThat(nested).isNotNull().get { status.code }.isEqualTo(429)
+            expectThat(nested).isNotNull().get { field("effect") }.isEqualTo("not-run")
+            expectThat(nested).isNotNull().get { header("Retry-After") }.isEqualTo("1")
             expectThat(urgent).isNull()
-            expectThat(small.post("$DATABASE/read", "counter").status.code).isEqualTo(200)
-            expectThat(small.limits.inFlight()).isEqualTo(0)
+            expectThat(smallApi.post("$DATABASE/read", "counter").status.code).isEqualTo(200)
+            expectThat(smallApi.limits.inFlight()).isEqualTo(0)
         }
     }
 
     @Nested
-    inner class `a handler that breaks` {
+    inner class `a handler that throws an exception` {
         @Test
-        fun `leaves the outcome unknown and marks the session`() {
-            api.answer = { error("planted") }
+        fun `makes the outcome unknown and marks the database unresolved in the session`() {
+            api.answer = { error("injected") }
             val response = api.post("$DATABASE/write", "clean")
             expectThat(response.status.code).isEqualTo(500)
             expectThat(response.field("effect")).isEqualTo("unknown")
-            expectThat(response.bodyString().contains("planted")).isFalse()
+            expectThat(response.bodyString().contains("injected")).isFalse()
             val token = api.tokens.decode(response.header("Kumquatknot-Session")!!, api.pesebre).getOrNull()
             expectThat(token).isNotNull().get { api.inventory in unresolved }.isTrue()
             expectThat(api.limits.inFlight()).isEqualTo(0)
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/ClientContractSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/ClientContractSpec.kt
@@ -43,7 +43,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The client library against the callers' interface, over sockets. */
+/** Tests the client library against the HTTP API for callers, over sockets. */
 @Timeout(60)
 class ClientContractSpec {
     private val api = CallerApiFixture()
@@ -62,13 +62,13 @@
                 api.reply(it).right()
             } else {
                 failed = true
-                val failure = Failure(reason, effect, Step.EXECUTE, Peer.Local, "planted", retryAfter)
+                val failure = Failure(reason, effect, Step.EXECUTE, Peer.Local, "injected", retryAfter)
                 RequestFailure(failure, it.token).left()
             }
         }
     }
 
-    private fun seenWorks(): List<Work> = api.seen.map(CallerRequest::work)
+    private fun receivedWork(): List<Work> = api.receivedRequests.map(CallerRequest::work)
 
     @AfterEach
     fun tearDown() {
@@ -78,7 +78,7 @@
     @Nested
     inner class `a session` {
         @Test
-        fun `carries parameters, results and the token over`() {
+        fun `transfers parameters, results and the session token`() {
             api.answer = {
                 val row = listOf(SqlValue.Integer(Long.MIN_VALUE), SqlValue.Null)
                 api.reply(it).copy(results = listOf(StatementResult(listOf("a", "b"), listOf(row)))).right()
@@ -87,17 +87,18 @@
             val cell = expectThat(outcome).isA<Outcome.Completed<Answer>>().subject.value.results[0].rows[0][0]
             expectThat(cell.long).isEqualTo(Long.MIN_VALUE)
             session.read("inventory-1", "browse", listOf(select))
-            expectThat(api.seen.map { it.token.pointOf(api.inventory).position.value }).isEqualTo(listOf(0L, 9L))
-            val parameters = (seenWorks().first() as Work.Read).statements.single().parameters
+            expectThat(api.receivedRequests.map { it.token.pointOf(api.inventory).position.value })
+                .isEqualTo(listOf(0L, 9L))
+            val parameters = (receivedWork().first() as Work.Read).statements.single().parameters
             expectThat(parameters).isEqualTo(listOf(SqlValue.Integer(Long.MAX_VALUE)))
         }
 
         @Test
-        fun `keeps what each of two parallel answers has seen`() {
-            val together = CyclicBarrier(2)
+        fun `merges the tokens of two parallel answers`() {
+            val bothReceived = CyclicBarrier(2)
             api.answer = { request ->
                 val kind = request.kind.name.value
-                if (kind != "clean") together.await(10, TimeUnit.SECONDS)
+                if (kind != "clean") bothReceived.await(10, TimeUnit.SECONDS)
                 api.reply(request, point = if (kind == "browse") 20 else 10).right()
             }
             val reads = listOf("browse", "counter").map { kind ->
@@ -105,7 +106,7 @@
             }
             reads.forEach { it.join() }
             session.write("inventory-1", "clean", listOf(select))
-            expectThat(api.seen.last().token.pointOf(api.inventory))
+            expectThat(api.receivedRequests.last().token.pointOf(api.inventory))
                 .isEqualTo(HistoryPoint(Term(2), LogPosition(20)))
             expectThat(session.tokens).hasSize(1)
         }
@@ -117,32 +118,32 @@
         fun `that did not run is sent again`() {
             failOnce(FailureReason.OVERLOADED, Effect.NOT_RUN, retryAfter = 1.milliseconds)
             expectThat(session.write("inventory-1", "clean", listOf(select))).isA<Outcome.Completed<Answer>>()
-            expectThat(api.seen).hasSize(2)
+            expectThat(api.receivedRequests).hasSize(2)
         }
 
         @Test
-        fun `of unknown outcome is handed back, or resolved by its key`() {
+        fun `of unknown outcome is returned as unknown, and work with a key can be resolved`() {
             failOnce(FailureReason.UNCONFIRMED, Effect.UNKNOWN)
             expectThat(session.write("inventory-1", "clean", listOf(select))).isA<Outcome.Unknown>()
             val key = IdempotencyKey("order/17?%+#")
             expectThat(session.resolve("inventory-1", "book", key)).isA<Outcome.Completed<Answer>>()
-            expectThat(api.seen.last()) {
+            expectThat(api.receivedRequests.last()) {
                 get { work }.isEqualTo(Work.Resolve)
                 get { this.key?.value }.isEqualTo("order/17?%+#")
             }
         }
 
         @Test
-        fun `of the caller's making is told with its reason`() {
+        fun `that the caller caused is returned with its reason`() {
             val outcome = session.write("inventory-1", "book", listOf(select))
             expectThat(outcome).isA<Outcome.NotRun>().get { problem.type }
                 .isEqualTo("urn:kumquatknot:problem:key-required")
         }
 
         @Test
-        fun `to connect is not run`() {
-            val nowhere = ClientSettings(listOf("http://127.0.0.1:1"), "key", deadline = 50.milliseconds)
-            expectThat(KumquatknotClient(nowhere).session().read("inventory-1", "browse", listOf(select)))
+        fun `to connect is returned as not run`() {
+            val unreachableSettings = ClientSettings(listOf("http://127.0.0.1:1"), "key", deadline = 50.milliseconds)
+            expectThat(KumquatknotClient(unreachableSettings).session().read("inventory-1", "browse", listOf(select)))
                 .isA<Outcome.NotRun>()
         }
     }
@@ -155,8 +156,8 @@
             api.answer = { api.reply(it).copy(transaction = handle.takeIf { _ -> it.work == Work.Begin }).right() }
             val outcome = session.transaction("inventory-1", "book", IdempotencyKey("k")) { run(select) }
             expectThat(outcome).isEqualTo(Outcome.Completed(emptyList()))
-            expectThat(seenWorks()).map { it::class.simpleName }.isEqualTo(listOf("Begin", "Run", "Commit"))
-            expectThat(api.seen.last().key?.value).isEqualTo("k")
+            expectThat(receivedWork()).map { it::class.simpleName }.isEqualTo(listOf("Begin", "Run", "Commit"))
+            expectThat(api.receivedRequests.last().key?.value).isEqualTo("k")
         }
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/OpenApiSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/OpenApiSpec.kt
@@ -37,21 +37,21 @@
     }
 
     @Test
-    fun `names the parameters of each path`() {
+    fun `declares the parameters of each path`() {
         val parameters = document.getValue("components").jsonObject.getValue("parameters").jsonObject
         operations().forEach { (_, path, operation) ->
-            val inPath =
+            val declared =
                 (operation["parameters"] ?: JsonArray(emptyList())).jsonArray
                     .map { parameters.getValue(it.reference().substringAfterLast('/')).jsonObject }
                     .filter { it.getValue("in").jsonPrimitive.content == "path" }
                     .map { it.getValue("name").jsonPrimitive.content }
-            val template = Regex("\\{(\\w+)}").findAll(path).map { it.groupValues[1] }.toList()
-            expectThat(inPath).containsExactlyInAnyOrder(template)
+            val inTemplate = Regex("\\{(\\w+)}").findAll(path).map { it.groupValues[1] }.toList()
+            expectThat(declared).containsExactlyInAnyOrder(inTemplate)
         }
     }
 
     @Test
-    fun `states the limits of the code`() {
+    fun `states the statement limit of the parser`() {
         val statements = schema("Statements").getValue("properties").jsonObject.getValue("statements").jsonObject
         expectThat(statements.getValue("maxItems").jsonPrimitive.content.toInt())
             .isEqualTo(StatementJson.MAXIMUM_STATEMENTS)
@@ -79,7 +79,7 @@
         }
 
     private fun resolve(reference: String): JsonElement? =
-        reference.removePrefix("#/").split('/').fold(document as JsonElement?) { at, name ->
-            (at as? JsonObject)?.get(name)
+        reference.removePrefix("#/").split('/').fold(document as JsonElement?) { element, name ->
+            (element as? JsonObject)?.get(name)
         }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/SaturatedEdgeSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/caller/SaturatedEdgeSpec.kt
@@ -56,11 +56,11 @@
     }
 
     @Test
-    fun `urgent requests are served while a flood of background work blocks all that it may`() {
-        val flood = List(60) { read("browse") }
-        while (flood.count { it.isDone } + api.limits.inFlight() < flood.size) Thread.sleep(5)
-        val refused = flood.filter { it.isDone }.map { it.get().statusCode() }
-        val blocked = flood.size - refused.size
+    fun `urgent requests are served while background requests block all the workers that they may use`() {
+        val backgroundRequests = List(60) { read("browse") }
+        while (backgroundRequests.count { it.isDone } + api.limits.inFlight() < backgroundRequests.size) Thread.sleep(5)
+        val refused = backgroundRequests.filter { it.isDone }.map { it.get().statusCode() }
+        val blocked = backgroundRequests.size - refused.size
         expectThat(refused.toSet()).containsExactly(429)
         expectThat(blocked).isEqualTo(2)
 
@@ -68,6 +68,7 @@
         expectThat(urgent.toSet()).containsExactly(200)
 
         release.countDown()
-        expectThat(flood.map { it.get(20, TimeUnit.SECONDS).statusCode() }.count { it == 200 }).isEqualTo(blocked)
+        expectThat(backgroundRequests.map { it.get(20, TimeUnit.SECONDS).statusCode() }.count { it == 200 })
+            .isEqualTo(blocked)
     }
 }
