--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/BlockingFailure.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/BlockingFailure.kt
@@ -10,31 +10,31 @@
 import java.util.concurrent.TimeoutException
 import kotlin.time.Duration
 
-/** How a blocking call failed. */
+/** Failure of a blocking JDBC call. */
 internal sealed interface BlockingFailure {
     class Sql(val exception: SQLException) : BlockingFailure
 
     data object TimedOut : BlockingFailure
 }
 
-/** Runs [action] on [executor] and waits for it at most [timeout]; [onLate] gets a result that came later. */
+/** Runs [action] on [executor] and waits at most [timeout]; a result after that is passed to [onLateResult]. */
 internal fun <T : Any> callBlocking(
     executor: Executor,
     timeout: Duration,
-    onLate: (T) -> Unit = {},
+    onLateResult: (T) -> Unit = {},
     action: () -> T,
 ): Either<BlockingFailure, T> {
     val result = CompletableFuture<Either<BlockingFailure, T>>()
-    executor.execute { result.complete(attempt(action)) }
+    executor.execute { result.complete(catchSqlException(action)) }
     return try {
         result.get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
     } catch (_: TimeoutException) {
-        result.thenAccept { late -> late.onRight(onLate) }
+        result.thenAccept { late -> late.onRight(onLateResult) }
         BlockingFailure.TimedOut.left()
     } catch (failure: ExecutionException) {
         throw failure.cause ?: failure
     }
 }
 
-private fun <T> attempt(action: () -> T): Either<BlockingFailure, T> =
+private fun <T> catchSqlException(action: () -> T): Either<BlockingFailure, T> =
     Either.catchOrThrow<SQLException, T>(action).mapLeft { BlockingFailure.Sql(it) }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcConnection.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcConnection.kt
@@ -19,8 +19,9 @@
 import kotlin.time.Duration
 
 /**
- * One JDBC connection to a member. A transaction reads from one snapshot; the term table is checked when it begins and,
- * under a lock on its row, right before a change commits. A batch without an answer in time closes the connection.
+ * One JDBC connection to a member. A transaction reads from one snapshot. The term table is checked when a transaction
+ * begins and, under a lock on its row, right before changes are committed. A batch without an answer within its timeout
+ * closes the connection.
  */
 internal class JdbcConnection(
     private val member: MemberName,
@@ -28,14 +29,14 @@
     private val executor: Executor,
     private val termLock: String,
 ) : MemberConnection {
-    /** An open transaction: the term row and the position of its snapshot. */
+    /** An open transaction with the term row and the log position of its snapshot. */
     private class Transaction(
         val replica: Boolean,
         val readOnly: Boolean,
         val row: TermRow,
         val position: LogPosition,
     ) {
-        var changes = false
+        var hasChanges = false
         val point: HistoryPoint get() = HistoryPoint(row.serving, position)
     }
 
@@ -47,8 +48,8 @@
     override fun run(batch: StatementBatch, timeout: Duration): Either<MemberFailure, BatchReply> {
         val step = if (batch.end == BatchEnd.COMMIT) Step.COMMIT else Step.EXECUTE
         if (!usable) return MemberFailure.Unreachable(member, step, "the connection is closed").left()
-        val outcome = callBlocking(executor, timeout) { attempt(batch, step) }
-            .fold({ givenUp(it, step, timeout) }, { it })
+        val outcome = callBlocking(executor, timeout) { runOrRollBack(batch, step) }
+            .fold({ noAnswer(it, step, timeout) }, { it })
         if (outcome is Either.Left && outcome.value is MemberFailure.NoAnswer) close()
         return outcome
     }
@@ -66,7 +67,7 @@
         }
     }
 
-    private fun givenUp(failure: BlockingFailure, step: Step, timeout: Duration): Either<MemberFailure, BatchReply> {
+    private fun noAnswer(failure: BlockingFailure, step: Step, timeout: Duration): Either<MemberFailure, BatchReply> {
         val detail = when (failure) {
             BlockingFailure.TimedOut -> "no answer within $timeout"
             is BlockingFailure.Sql -> failure.exception.message.orEmpty()
@@ -74,7 +75,7 @@
         return MemberFailure.NoAnswer(member, step, detail).left()
     }
 
-    private fun attempt(batch: StatementBatch, step: Step): Either<MemberFailure, BatchReply> = try {
+    private fun runOrRollBack(batch: StatementBatch, step: Step): Either<MemberFailure, BatchReply> = try {
         runInTransaction(batch, step).onLeft { rollback() }
     } catch (failure: SQLException) {
         val term = transaction?.row?.accepted ?: batch.term
@@ -85,33 +86,38 @@
 
     private fun runInTransaction(batch: StatementBatch, step: Step): Either<MemberFailure, BatchReply> {
         val current = transaction ?: begin(batch.readOnly && batch.end != BatchEnd.KEEP_OPEN).also { transaction = it }
-        return check(current, batch, step).flatMap {
-            current.changes = current.changes || !batch.readOnly
+        return checkTerm(current, batch, step).flatMap {
+            current.hasChanges = current.hasChanges || !batch.readOnly
             val results = batch.statements.map { connection.runStatement(it) }
-            end(current, batch, step).map { point -> BatchReply(batch.request, results, point, current.row.accepted) }
+            finish(current, batch, step).map { point ->
+                BatchReply(batch.request, results, point, current.row.accepted)
+            }
         }
     }
 
-    private fun check(current: Transaction, batch: StatementBatch, step: Step): Either<MemberFailure, Unit> {
+    private fun checkTerm(current: Transaction, batch: StatementBatch, step: Step): Either<MemberFailure, Unit> {
         val row = current.row
         return when {
             row.accepted > batch.term -> MemberFailure.LowerTerm(member, step, row.accepted).left()
-            batch.readOnly && !current.changes -> Unit.right()
+            batch.readOnly && !current.hasChanges -> Unit.right()
             current.replica || !row.servesChanges(batch.term) ->
                 MemberFailure.NotPrimary(member, step, row.accepted).left()
             else -> Unit.right()
         }
     }
 
-    /** Takes a snapshot whose position is known: the position is the same before and after it was taken. */
+    /**
+     * Begins a transaction whose snapshot has a known log position: the position is the same before and after taking
+     * the snapshot. Otherwise the snapshot is taken again, at most [SNAPSHOT_RETRIES] times.
+     */
     private fun begin(readOnly: Boolean): Transaction {
-        var taken = takeSnapshot(readOnly)
+        var snapshot = takeSnapshot(readOnly)
         repeat(SNAPSHOT_RETRIES) {
-            if (ServerFunctions.position(connection, taken.replica) == taken.position) return taken
+            if (ServerFunctions.position(connection, snapshot.replica) == snapshot.position) return snapshot
             connection.rollback()
-            taken = takeSnapshot(readOnly)
+            snapshot = takeSnapshot(readOnly)
         }
-        return taken
+        return snapshot
     }
 
     private fun takeSnapshot(readOnly: Boolean): Transaction {
@@ -124,7 +130,7 @@
         return Transaction(replica, readOnly, TermTable.read(connection), position)
     }
 
-    private fun end(current: Transaction, batch: StatementBatch, step: Step): Either<MemberFailure, HistoryPoint> =
+    private fun finish(current: Transaction, batch: StatementBatch, step: Step): Either<MemberFailure, HistoryPoint> =
         when (batch.end) {
             BatchEnd.KEEP_OPEN -> current.point.right()
             BatchEnd.ROLLBACK -> current.point.right().also { rollback() }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcControl.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcControl.kt
@@ -17,10 +17,10 @@
 import kotlin.time.Duration
 
 /**
- * Control calls to one member, each on a connection of its own.
+ * Control calls to one member, each over a separate connection.
  *
- * A replica has no place to keep a term: it accepts one by pausing replay, and this object remembers which. The term
- * that a replica reports is the higher one of that and the one in its copy of the term table.
+ * A replica cannot store a term: it accepts a term by pausing replay, and this object keeps the accepted term. The term
+ * that a replica reports is the higher one of this term and the one in its copy of the term table.
  */
 internal class JdbcControl(
     private val member: MemberName,
@@ -40,20 +40,20 @@
             } else {
                 TermTable.accept(connection, proposal)
             }
-            reportIf(accepted, connection)
+            reportIfAccepted(accepted, connection)
         }
 
     fun promote(proposal: TermProposal, timeout: Duration): Either<MemberFailure, MemberReport> =
         call(Step.PROMOTE, timeout) { connection ->
             val row = TermTable.read(connection)
-            val known = acceptedAtReplica.get() == proposal || row.isAcceptanceOf(proposal)
+            val isAccepted = acceptedAtReplica.get() == proposal || row.isAcceptanceOf(proposal)
             when {
-                !known && acceptedTerm(connection) < proposal.term ->
+                !isAccepted && acceptedTerm(connection) < proposal.term ->
                     MemberFailure.NotPrimary(member, Step.PROMOTE, acceptedTerm(connection)).left()
-                !known || row.accepted > proposal.term -> lowerTerm(connection)
+                !isAccepted || row.accepted > proposal.term -> lowerTerm(connection)
                 ServerFunctions.isReplica(connection) && !ServerFunctions.promote(connection, timeout) ->
                     MemberFailure.NoAnswer(member, Step.PROMOTE, "the promotion did not end in time").left()
-                else -> serve(connection, proposal)
+                else -> beginServing(connection, proposal)
             }
         }
 
@@ -62,9 +62,9 @@
             when {
                 acceptedTerm(connection) > term -> lowerTerm(connection)
                 !ServerFunctions.isReplica(connection) ->
-                    unsupported("a former primary follows only after pg_rewind and a restart as standby")
+                    notSupported("a former primary follows only after pg_rewind and a restart as standby")
                 ServerFunctions.upstream(connection) != addressOf(primary) ->
-                    unsupported("the standby does not receive from $primary; its primary_conninfo must name it")
+                    notSupported("the standby does not receive from $primary; its primary_conninfo must name it")
                 else -> {
                     ServerFunctions.resumeReplay(connection)
                     readReport(connection).right()
@@ -74,21 +74,21 @@
 
     private fun acceptAtReplica(connection: Connection, proposal: TermProposal): Boolean {
         if (TermTable.read(connection).accepted >= proposal.term) return false
-        val remembered = acceptedAtReplica.updateAndGet { known ->
-            if (known == null || known.term < proposal.term) proposal else known
+        val accepted = acceptedAtReplica.updateAndGet { current ->
+            if (current == null || current.term < proposal.term) proposal else current
         }
-        if (remembered != proposal) return false
+        if (accepted != proposal) return false
         ServerFunctions.pauseReplay(connection)
         return true
     }
 
-    private fun serve(connection: Connection, proposal: TermProposal): Either<MemberFailure, MemberReport> {
+    private fun beginServing(connection: Connection, proposal: TermProposal): Either<MemberFailure, MemberReport> {
         val row = TermTable.read(connection)
         if (row.servesChanges(proposal.term) && row.isAcceptanceOf(proposal)) return readReport(connection).right()
-        return reportIf(TermTable.serve(connection, proposal), connection)
+        return reportIfAccepted(TermTable.serve(connection, proposal), connection)
     }
 
-    private fun reportIf(accepted: Boolean, connection: Connection): Either<MemberFailure, MemberReport> =
+    private fun reportIfAccepted(accepted: Boolean, connection: Connection): Either<MemberFailure, MemberReport> =
         if (accepted) readReport(connection).right() else lowerTerm(connection)
 
     private fun readReport(connection: Connection): MemberReport {
@@ -101,25 +101,25 @@
             role = if (primary) MemberRole.PRIMARY else MemberRole.REPLICA,
             acceptedTerm = acceptedTerm(connection),
             lastEntry = HistoryPoint(row.serving, position),
-            primaryContactAge = contactAge(connection, replica, primary),
+            primaryContactAge = primaryContactAge(connection, replica, primary),
         )
     }
 
-    private fun contactAge(connection: Connection, replica: Boolean, primary: Boolean): Duration? = when {
+    private fun primaryContactAge(connection: Connection, replica: Boolean, primary: Boolean): Duration? = when {
         primary -> null
         replica -> ServerFunctions.primaryContactAge(connection)
         else -> Duration.INFINITE
     }
 
     private fun acceptedTerm(connection: Connection): Term {
-        val inTable = TermTable.read(connection).accepted
-        return maxOf(inTable, acceptedAtReplica.get()?.term ?: inTable)
+        val storedTerm = TermTable.read(connection).accepted
+        return maxOf(storedTerm, acceptedAtReplica.get()?.term ?: storedTerm)
     }
 
     private fun lowerTerm(connection: Connection) =
         MemberFailure.LowerTerm(member, Step.PROMOTE, acceptedTerm(connection)).left()
 
-    private fun unsupported(detail: String) =
+    private fun notSupported(detail: String) =
         MemberFailure.StatementFailed(member, SqlStates.NOT_SUPPORTED, detail).left()
 
     private fun call(
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcMembers.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcMembers.kt
@@ -13,15 +13,15 @@
 import java.util.concurrent.Executors
 import kotlin.time.Duration
 
-/** Opens a JDBC connection to [member]; throws [java.sql.SQLException] where that fails. */
+/** Opens a JDBC connection to [member]; throws [java.sql.SQLException] on failure. */
 public typealias OpenJdbcConnection = (member: MemberConfiguration) -> Connection
 
 /**
- * Opens member ports to PostgreSQL over JDBC. `docs/design/postgresql.md` tells which promises of the port PostgreSQL's
- * published functions can keep.
+ * Creates member ports to PostgreSQL over JDBC. `docs/design/postgresql.md` describes which guarantees of the port
+ * PostgreSQL's published functions can provide.
  *
  * @param members the members of one database group.
- * @param open opens a connection; [postgreSql] gives the one for real servers.
+ * @param open opens a connection; [postgreSql] returns the implementation for real servers.
  */
 public class JdbcMembers internal constructor(
     private val members: List<MemberConfiguration>,
@@ -34,9 +34,9 @@
         Thread(task, "jdbc-adapter").apply { isDaemon = true }
     }
 
-    /** Returns the port to the member called [name]. */
+    /** Returns the port to the member [name]; throws [IllegalArgumentException] if the group has no such member. */
     public fun port(name: MemberName): MemberPort {
-        val member = requireNotNull(members.firstOrNull { it.name == name }) { "no member $name" }
+        val member = requireNotNull(members.firstOrNull { it.name == name }) { "no member $name in the database group" }
         val control = JdbcControl(name, { connect(member, it) }, threads) { primary ->
             members.firstOrNull { it.name == primary }?.address
         }
@@ -51,7 +51,7 @@
     }
 
     private fun connect(member: MemberConfiguration, timeout: Duration): Either<MemberFailure, Connection> =
-        callBlocking(threads, timeout, onLate = { it.close() }) { open(member) }.mapLeft { failure ->
+        callBlocking(threads, timeout, onLateResult = { it.close() }) { open(member) }.mapLeft { failure ->
             when (failure) {
                 is BlockingFailure.Sql -> SqlStates.connectFailure(member.name, failure.exception)
                 BlockingFailure.TimedOut ->
@@ -60,10 +60,10 @@
         }
 
     public companion object {
-        /** Statements that the owner of a database runs once at its primary, before the proxy uses it. */
+        /** SQL statements that the owner of a database runs once at its primary, before the proxy uses the database. */
         public val schema: List<String> get() = TermTable.schema
 
-        /** Opens connections to [database] at PostgreSQL servers as [user]. */
+        /** Returns a function that connects to [database] at PostgreSQL servers as [user]. */
         public fun postgreSql(database: DatabaseName, user: String, password: String): OpenJdbcConnection = { member ->
             val properties = Properties()
             properties["user"] = user
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcValues.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcValues.kt
@@ -8,7 +8,7 @@
 import java.sql.PreparedStatement
 import java.sql.ResultSet
 
-/** Runs [statement] and returns its rows or the number of changed ones. */
+/** Runs [statement] and returns its result rows, or the number of updated rows if it is not a query. */
 internal fun Connection.runStatement(statement: Statement): StatementResult =
     prepareStatement(statement.text).use { prepared ->
         prepared.bind(statement.parameters)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/SqlStates.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/jdbc/SqlStates.kt
@@ -6,9 +6,9 @@
 import dev.kumquatknot.core.outcome.Step
 import java.sql.SQLException
 
-/** What PostgreSQL's SQLSTATE codes mean for a call to a member. */
+/** Maps PostgreSQL's SQLSTATE codes to failures of a call to a member. */
 internal object SqlStates {
-    /** Failure of a batch. The member has rolled its transaction back, unless the connection was lost. */
+    /** Returns the failure of a batch. The member has rolled its transaction back, unless the connection was lost. */
     fun batchFailure(member: MemberName, step: Step, term: Term, failure: SQLException): MemberFailure {
         val state = failure.sqlState.orEmpty()
         return when {
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Failure to open a connection. */
+    /** Returns the failure to open a connection. */
     fun connectFailure(member: MemberName, failure: SQLException): MemberFailure =
         if (failure.sqlState == TOO_MANY_CONNECTIONS) {
             MemberFailure.TooManyConnections(member, describe(failure))
@@ -26,14 +26,15 @@
             MemberFailure.Unreachable(member, Step.CONNECT, describe(failure))
         }
 
-    fun isConnectionLoss(state: String): Boolean = state.startsWith(CONNECTION_CLASS) || state in shutdowns
+    fun isConnectionLoss(state: String): Boolean =
+        state.startsWith(CONNECTION_EXCEPTION_CLASS) || state in serverShutdowns
 
     const val NOT_SUPPORTED = "0A000"
-    private const val CONNECTION_CLASS = "08"
+    private const val CONNECTION_EXCEPTION_CLASS = "08"
     private const val TOO_MANY_CONNECTIONS = "53300"
     private const val READ_ONLY_TRANSACTION = "25006"
     private const val INTERNAL_ERROR = "XX000"
-    private val shutdowns = setOf("57P01", "57P02", "57P03")
+    private val serverShutdowns = setOf("57P01", "57P02", "57P03")
 
     private fun describe(failure: SQLException) = failure.message ?: failure.toString()
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/platform/HttpObjectStore.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/platform/HttpObjectStore.kt
@@ -25,12 +25,12 @@
 import kotlin.time.toJavaDuration
 
 /**
- * [ObjectStore] over the platform's HTTP interface at [baseUri], such as `http://10.0.0.1:8080`.
+ * [ObjectStore] client of the platform's HTTP API at [baseUri], such as `http://10.0.0.1:8080`.
  *
- * A call that could not connect is [StoreFailure.Refused]; one that was sent and got no usable answer is
- * [StoreFailure.NoAnswer].
+ * A call that could not connect fails with [StoreFailure.Refused]; a call that was sent but got no usable answer fails
+ * with [StoreFailure.NoAnswer].
  *
- * @param timeout time that a call has, on top of what a watch waits.
+ * @param timeout time limit of a call; a watch may take its own timeout in addition.
  */
 public class HttpObjectStore(private val baseUri: URI, private val timeout: Duration = 3.seconds) : ObjectStore {
     private val client = HttpClient.newBuilder()
@@ -39,7 +39,7 @@
         .build()
 
     @Volatile
-    private var lastList: TaggedList? = null
+    private var cachedVmList: TaggedVmList? = null
 
     override fun read(key: String): Either<StoreFailure, StoredObject?> =
         send(request(objectUri(key)).GET()).flatMap { response ->
@@ -52,8 +52,8 @@
 
     override fun readAll(prefix: String): Either<StoreFailure, List<StoredObject>> =
         send(request(uri("/objects?prefix=${encode(prefix)}")).GET()).flatMap { response ->
-            response.toList<ObjectJson>().map { found ->
-                found.map { StoredObject(it.key, ObjectVersion(it.version), it.value) }
+            response.toList<ObjectJson>().map { objects ->
+                objects.map { StoredObject(it.key, ObjectVersion(it.version), it.value) }
             }
         }
 
@@ -87,21 +87,21 @@
 
     override fun vms(): Either<StoreFailure, List<ListedVm>> =
         send(vmsRequest()).flatMap { response ->
-            val known = lastList
-            if (response.statusCode() == NOT_MODIFIED && known != null) {
-                known.vms.right()
+            val cached = cachedVmList
+            if (response.statusCode() == NOT_MODIFIED && cached != null) {
+                cached.vms.right()
             } else {
-                response.toList<ListedVm>().onRight { remember(response, it) }
+                response.toList<ListedVm>().onRight { cache(response, it) }
             }
         }
 
     private fun vmsRequest(): HttpRequest.Builder {
         val request = request(uri("/vms")).GET()
-        return lastList?.let { request.header("If-None-Match", it.tag) } ?: request
+        return cachedVmList?.let { request.header("If-None-Match", it.tag) } ?: request
     }
 
-    private fun remember(response: HttpResponse<String>, vms: List<ListedVm>) {
-        lastList = response.headers().firstValue("ETag").map { TaggedList(it, vms) }.orElse(null)
+    private fun cache(response: HttpResponse<String>, vms: List<ListedVm>) {
+        cachedVmList = response.headers().firstValue("ETag").map { TaggedVmList(it, vms) }.orElse(null)
     }
 
     private fun send(request: HttpRequest.Builder): Either<StoreFailure, HttpResponse<String>> = try {
@@ -117,8 +117,8 @@
         StoreFailure.NoAnswer("the call was interrupted").left()
     }
 
-    private fun request(uri: URI, within: Duration = timeout) =
-        HttpRequest.newBuilder(uri).timeout(within.toJavaDuration())
+    private fun request(uri: URI, requestTimeout: Duration = timeout) =
+        HttpRequest.newBuilder(uri).timeout(requestTimeout.toJavaDuration())
 
     private fun objectUri(key: String) = uri("/objects/" + key.split('/').joinToString("/", transform = ::encode))
 
@@ -142,12 +142,12 @@
     private fun HttpResponse<String>.toFailure(key: String?): StoreFailure = when (statusCode()) {
         PRECONDITION_FAILED ->
             StoreFailure.Conflict(key?.let { k -> objectVersion()?.let { StoredObject(k, it, body()) } })
-        in refusals -> StoreFailure.Refused("status ${statusCode()}: ${body()}")
+        in refusalStatuses -> StoreFailure.Refused("status ${statusCode()}: ${body()}")
         else -> StoreFailure.NoAnswer("status ${statusCode()}")
     }
 
-    /** The list of VMs as it was read last; [tag] tells the platform which one that was. */
-    private class TaggedList(val tag: String, val vms: List<ListedVm>)
+    /** The list of VMs that was read last, with its entity [tag] for conditional requests. */
+    private class TaggedVmList(val tag: String, val vms: List<ListedVm>)
 
     private companion object {
         const val OK = 200
@@ -155,10 +155,10 @@
         const val NOT_FOUND = 404
         const val PRECONDITION_FAILED = 412
         const val SERVICE_UNAVAILABLE = 503
-        val refusals = (400..499) + SERVICE_UNAVAILABLE
+        val refusalStatuses = (400..499) + SERVICE_UNAVAILABLE
     }
 }
 
-/** One object in the platform's list of a prefix. */
+/** One object in the platform's list of objects with a common key prefix. */
 @Serializable
 private data class ObjectJson(val key: String, val version: Long, val value: String)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/ControlChannel.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/ControlChannel.kt
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicReference
 import kotlin.time.Duration
 
-/** Control calls to one member over a network connection that is replaced when it gives no answer. */
+/** Control calls to one member over a gRPC channel that is replaced after a call without an answer. */
 internal class ControlChannel(private val member: MemberName, private val open: () -> ManagedChannel) : AutoCloseable {
     private val current = AtomicReference<ManagedChannel?>()
 
@@ -26,7 +26,7 @@
         timeout: Duration,
         call: (DatabaseMemberBlockingStub) -> ControlReply,
     ): Either<MemberFailure, MemberReport> {
-        val channel = channel()
+        val channel = currentOrNew()
         val stub = DatabaseMemberGrpc.newBlockingStub(channel)
             .withDeadlineAfter(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
         return try {
@@ -41,19 +41,19 @@
         current.getAndSet(null)?.shutdownNow()
     }
 
-    private fun channel(): ManagedChannel {
+    private fun currentOrNew(): ManagedChannel {
         current.get()?.let { return it }
-        val fresh = open()
-        if (current.compareAndSet(null, fresh)) return fresh
-        fresh.shutdownNow()
-        return channel()
+        val opened = open()
+        if (current.compareAndSet(null, opened)) return opened
+        opened.shutdownNow()
+        return currentOrNew()
     }
 }
 
-/** A call that could not connect was never sent; for any other failure that is not proved. */
+/** Returns [MemberFailure.Unreachable] for a call that could not connect; after any other failure it may have run. */
 internal fun Status.toFailure(member: MemberName, step: Step): MemberFailure {
-    val refused = code == Status.Code.UNAVAILABLE && cause is ConnectException
-    return if (refused) {
+    val isConnectionRefused = code == Status.Code.UNAVAILABLE && cause is ConnectException
+    return if (isConnectionRefused) {
         MemberFailure.Unreachable(member, step, "connection refused")
     } else {
         MemberFailure.NoAnswer(member, step, listOfNotNull(code.name, description).joinToString(": "))
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/MemberMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/MemberMessages.kt
@@ -32,9 +32,9 @@
 import dev.kumquatknot.proxy.peer.toStatementResult
 import kotlin.time.Duration.Companion.nanoseconds
 
-/** Conversions between the member port's types and the messages of the stand-in database, for both ends. */
+/** Converts the member port's types to the messages of the stand-in database and back, for client and server. */
 public object MemberMessages {
-    /** Converts a batch. */
+    /** Converts a batch to its message. */
     public fun batch(batch: StatementBatch): BatchMessage = BatchMessage.newBuilder()
         .setRequest(batch.request.value)
         .setTerm(batch.term.value)
@@ -43,7 +43,7 @@
         .setEnd(BatchEndMessage.forNumber(batch.end.ordinal))
         .build()
 
-    /** Converts a batch. */
+    /** Converts a batch from its message. */
     public fun batch(message: BatchMessage): StatementBatch = StatementBatch(
         request = RequestId(message.request),
         term = Term(message.term),
@@ -52,27 +52,27 @@
         end = BatchEnd.entries[message.endValue],
     )
 
-    /** Converts the answer to the batch with [request]. */
+    /** Converts the outcome of the batch with [request] to its message. */
     public fun answer(request: RequestId, outcome: Either<MemberFailure, BatchReply>): AnswerMessage =
         AnswerMessage.newBuilder().setRequest(request.value).also { builder ->
             outcome.fold({ builder.setFailure(failure(it)) }, { builder.setReply(it.toMessage()) })
         }.build()
 
-    /** Converts the answer of [member] to a batch that was sent in [step]. */
+    /** Converts from its message the answer of [member] to a batch that was sent in [step]. */
     public fun answer(message: AnswerMessage, member: MemberName, step: Step): Either<MemberFailure, BatchReply> =
         if (message.hasFailure()) failure(message.failure, member, step).left() else message.toReply().right()
 
-    /** Converts the answer to a control call. */
+    /** Converts the outcome of a control call to its message. */
     public fun control(outcome: Either<MemberFailure, MemberReport>): ControlReply =
         ControlReply.newBuilder().also { builder ->
             outcome.fold({ builder.setFailure(failure(it)) }, { builder.setReport(it.toMessage()) })
         }.build()
 
-    /** Converts the answer of [member] to a control call that was sent in [step]. */
+    /** Converts from its message the answer of [member] to a control call that was sent in [step]. */
     public fun control(message: ControlReply, member: MemberName, step: Step): Either<MemberFailure, MemberReport> =
         if (message.hasFailure()) failure(message.failure, member, step).left() else message.report.toReport().right()
 
-    /** Converts a failure; member and step are known to the other end. */
+    /** Converts a failure to its message, without member and step, which the receiver knows. */
     public fun failure(failure: MemberFailure): FailureMessage = FailureMessage.newBuilder().also {
         when (failure) {
             is MemberFailure.Unreachable ->
@@ -90,7 +90,7 @@
         }
     }.build()
 
-    /** Converts a failure that [member] reports for a call that was sent in [step]. */
+    /** Converts from its message a failure that [member] reports for a call that was sent in [step]. */
     public fun failure(message: FailureMessage, member: MemberName, step: Step): MemberFailure =
         when (message.kindCase) {
             FailureMessage.KindCase.UNREACHABLE -> MemberFailure.Unreachable(member, step, message.unreachable.detail)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinConnection.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinConnection.kt
@@ -23,31 +23,31 @@
 import kotlin.time.Duration
 
 /**
- * One database connection, which is one stream on a network connection of its own. An answer counts only for the
- * request whose identity it carries; once a request went without an answer, the connection is closed for good.
+ * One database connection, which is one gRPC stream on a separate channel. An answer is accepted only for the request
+ * whose ID it carries. After a request without an answer, the connection is closed permanently.
  */
 internal class StandinConnection(
     private val member: MemberName,
     private val channel: ManagedChannel,
 ) : MemberConnection, StreamObserver<MemberMessage> {
-    private class Pending(val request: RequestId, val step: Step) {
+    private class PendingRequest(val request: RequestId, val step: Step) {
         val answer = CompletableFuture<Either<MemberFailure, BatchReply>>()
     }
 
     private lateinit var requests: StreamObserver<ClientMessage>
-    private val opened = CompletableFuture<MemberFailure?>()
-    private var pending: Pending? = null
-    private var ended: Status? = null
+    private val openResult = CompletableFuture<MemberFailure?>()
+    private var pending: PendingRequest? = null
+    private var endStatus: Status? = null
 
-    fun attach(requests: StreamObserver<ClientMessage>) {
+    fun setRequestStream(requests: StreamObserver<ClientMessage>) {
         this.requests = requests
     }
 
-    /** Opens the connection for [vm] and returns the failure, if any. */
+    /** Opens the connection for [vm] and returns the failure, or null on success. */
     fun open(vm: VmName, timeout: Duration): MemberFailure? {
         requests.onNext(ClientMessage.newBuilder().setOpen(OpenMessage.newBuilder().setVm(vm.value)).build())
         return try {
-            opened.get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+            openResult.get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
         } catch (_: TimeoutException) {
             MemberFailure.Unreachable(member, Step.CONNECT, "no connection within $timeout")
         }
@@ -56,14 +56,14 @@
     override fun run(batch: StatementBatch, timeout: Duration): Either<MemberFailure, BatchReply> {
         val step = if (batch.end == BatchEnd.COMMIT) Step.COMMIT else Step.EXECUTE
         val message = ClientMessage.newBuilder().setBatch(MemberMessages.batch(batch)).build()
-        val sent = synchronized(this) {
-            if (ended != null) return MemberFailure.Unreachable(member, step, "the connection is closed").left()
-            Pending(batch.request, step).also {
+        val sentRequest = synchronized(this) {
+            if (endStatus != null) return MemberFailure.Unreachable(member, step, "the connection is closed").left()
+            PendingRequest(batch.request, step).also {
                 pending = it
                 requests.onNext(message)
             }
         }
-        val outcome = await(sent, timeout)
+        val outcome = await(sentRequest, timeout)
         synchronized(this) { pending = null }
         if (outcome is Either.Left && outcome.value is MemberFailure.NoAnswer) close()
         return outcome
@@ -74,30 +74,30 @@
     override fun onNext(message: MemberMessage) {
         if (message.hasOpened()) {
             val failure = message.opened.takeIf { it.hasFailure() }?.failure
-            opened.complete(failure?.let { MemberMessages.failure(it, member, Step.CONNECT) })
+            openResult.complete(failure?.let { MemberMessages.failure(it, member, Step.CONNECT) })
             return
         }
-        val waiting = synchronized(this) { pending?.takeIf { it.request.value == message.answer.request } }
-        waiting?.let { it.answer.complete(MemberMessages.answer(message.answer, member, it.step)) }
+        val answered = synchronized(this) { pending?.takeIf { it.request.value == message.answer.request } }
+        answered?.let { it.answer.complete(MemberMessages.answer(message.answer, member, it.step)) }
     }
 
     override fun onError(failure: Throwable) = end(Status.fromThrowable(failure))
 
     override fun onCompleted() = end(Status.UNAVAILABLE.withDescription("the member closed the connection"))
 
-    private fun await(sent: Pending, timeout: Duration): Either<MemberFailure, BatchReply> = try {
-        sent.answer.get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+    private fun await(sentRequest: PendingRequest, timeout: Duration): Either<MemberFailure, BatchReply> = try {
+        sentRequest.answer.get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
     } catch (_: TimeoutException) {
-        MemberFailure.NoAnswer(member, sent.step, "no answer within $timeout").left()
+        MemberFailure.NoAnswer(member, sentRequest.step, "no answer within $timeout").left()
     }
 
     private fun end(status: Status) {
         val unanswered = synchronized(this) {
-            if (ended == null) ended = status
+            if (endStatus == null) endStatus = status
             pending
         }
         channel.shutdownNow()
-        opened.complete(status.toFailure(member, Step.CONNECT))
+        openResult.complete(status.toFailure(member, Step.CONNECT))
         unanswered?.let { it.answer.complete(noAnswer(it.step, status)) }
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinConnector.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinConnector.kt
@@ -12,7 +12,7 @@
 import io.grpc.ManagedChannel
 import kotlin.time.Duration
 
-/** Opens database connections to one member. */
+/** Opens database connections from [vm] to one member. */
 internal class StandinConnector(
     private val member: MemberName,
     private val vm: VmName,
@@ -21,11 +21,11 @@
     fun connect(timeout: Duration): Either<MemberFailure, MemberConnection> {
         val channel = open()
         val connection = StandinConnection(member, channel)
-        connection.attach(DatabaseMemberGrpc.newStub(channel).connect(connection))
+        connection.setRequestStream(DatabaseMemberGrpc.newStub(channel).connect(connection))
         val failure = connection.open(vm, timeout) ?: return connection.right()
         connection.close()
-        val unreachable = failure as? MemberFailure.TooManyConnections
+        val connectFailure = failure as? MemberFailure.TooManyConnections
             ?: MemberFailure.Unreachable(member, Step.CONNECT, failure.detail)
-        return unreachable.left()
+        return connectFailure.left()
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinMembers.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/adapter/standin/StandinMembers.kt
@@ -16,21 +16,21 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Opens member ports to stand-in database members over gRPC, on behalf of [vm].
+ * Creates member ports to stand-in database members over gRPC, on behalf of [vm].
  *
- * Each database connection has a network connection of its own, so that one which falls silent affects no other.
- * Control calls share one network connection for each member and move to a fresh one as soon as a call gets no answer.
+ * Each database connection has a separate channel, so that a connection that stops answering affects no other. Control
+ * calls share one channel per member, which is replaced as soon as a call gets no answer.
  */
 public class StandinMembers(private val vm: VmName) : AutoCloseable {
     private val threads: ExecutorService = Executors.newCachedThreadPool { task ->
         Thread(task, "member-adapter").apply { isDaemon = true }
     }
-    private val controls = CopyOnWriteArrayList<ControlChannel>()
+    private val controlChannels = CopyOnWriteArrayList<ControlChannel>()
 
-    /** Returns the port to [member]. Nothing is opened before its first call. */
+    /** Returns the port to [member]. The first call opens a connection. */
     public fun port(member: MemberConfiguration): MemberPort {
         val connector = StandinConnector(member.name, vm) { openChannel(member.address) }
-        val control = ControlChannel(member.name) { openChannel(member.address) }.also { controls += it }
+        val control = ControlChannel(member.name) { openChannel(member.address) }.also { controlChannels += it }
         return MemberPort(
             member = member.name,
             connect = connector::connect,
@@ -50,9 +50,9 @@
         )
     }
 
-    /** Closes the control connections. Database connections are closed by their users. */
+    /** Closes the control channels. Database connections are closed by their users. */
     override fun close() {
-        controls.forEach { it.close() }
+        controlChannels.forEach { it.close() }
     }
 
     private fun openChannel(address: String): ManagedChannel = NettyChannelBuilder
@@ -61,7 +61,7 @@
         .executor(threads)
         .keepAliveTime(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
         .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
-        .maxInboundMessageSize(MAX_MESSAGE_BYTES)
+        .maxInboundMessageSize(MAXIMUM_MESSAGE_BYTES)
         .build()
 
     private fun TermProposal.toMessage(): ProposalRequest = ProposalRequest.newBuilder()
@@ -73,6 +73,6 @@
     private companion object {
         const val KEEP_ALIVE_SECONDS = 10L
         const val KEEP_ALIVE_TIMEOUT_SECONDS = 3L
-        const val MAX_MESSAGE_BYTES = 64 * 1024 * 1024
+        const val MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/EmbeddedServer.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/EmbeddedServer.kt
@@ -5,7 +5,7 @@
 import java.time.OffsetDateTime
 import java.util.concurrent.ConcurrentHashMap
 
-/** An embedded database in which PostgreSQL's functions are defined by their documented results. */
+/** An embedded H2 database with aliases for PostgreSQL's functions, which return their documented results. */
 class EmbeddedServer(
     val name: String,
     @Volatile var inRecovery: Boolean,
@@ -17,7 +17,7 @@
     var replayPaused = false
 
     private val source = JdbcDataSource().apply { setURL("jdbc:h2:mem:$name;MODE=PostgreSQL;DATABASE_TO_LOWER=TRUE") }
-    private val keeper = source.connection
+    private val keepAliveConnection = source.connection
 
     init {
         servers[name] = this
@@ -25,7 +25,7 @@
             "CREATE TABLE pg_stat_wal_receiver (sender_host TEXT, sender_port INT, " +
                 "last_msg_receipt_time TIMESTAMP WITH TIME ZONE)",
         )
-        functions.forEach { (sql, method) ->
+        functionMethods.forEach { (sql, method) ->
             execute("CREATE ALIAS $sql FOR '${EmbeddedFunctions::class.java.name}.$method'")
         }
         JdbcMembers.schema.forEach(::execute)
@@ -33,7 +33,7 @@
 
     fun open(): Connection = source.connection
 
-    fun execute(sql: String) = keeper.createStatement().use { it.execute(sql) }
+    fun execute(sql: String) = keepAliveConnection.createStatement().use { it.execute(sql) }
 
     override fun close() {
         execute("SHUTDOWN IMMEDIATELY")
@@ -42,7 +42,7 @@
 
     companion object {
         internal val servers = ConcurrentHashMap<String, EmbeddedServer>()
-        private val functions = mapOf(
+        private val functionMethods = mapOf(
             "pg_is_in_recovery" to "isInRecovery",
             "pg_current_wal_lsn" to "position",
             "pg_last_wal_replay_lsn" to "position",
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcMembersSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/JdbcMembersSpec.kt
@@ -37,7 +37,7 @@
     private val a = MemberName("course-1-a")
     private val b = MemberName("course-1-b")
     private val vm = VmName("vm-1")
-    private val patience = 5.seconds
+    private val timeout = 5.seconds
     private val primary = EmbeddedServer("jdbc_primary", inRecovery = false)
     private val replica = EmbeddedServer("jdbc_replica", inRecovery = true)
     private val members = listOf(a to "10.0.0.1:5432", b to "10.0.0.2:5432").map { (name, address) ->
@@ -48,8 +48,8 @@
 
     init {
         listOf(primary, replica).forEach { it.execute("CREATE TABLE seat (id INT PRIMARY KEY, price NUMERIC(8,2))") }
-        adapter.port(a).acceptTerm(TermProposal(Term(1), vm), patience).value()
-        adapter.port(a).promote(TermProposal(Term(1), vm), patience).value()
+        adapter.port(a).acceptTerm(TermProposal(Term(1), vm), timeout).value()
+        adapter.port(a).promote(TermProposal(Term(1), vm), timeout).value()
         replica.execute("UPDATE kumquatknot_term SET accepted = 1, proposer = 'vm-1', serving = 1")
     }
 
@@ -61,7 +61,7 @@
     }
 
     private fun connect(member: MemberName) =
-        adapter.port(member).connect(patience).onRight { connections += it }.value()
+        adapter.port(member).connect(timeout).onRight { connections += it }.value()
 
     private fun batch(
         term: Long,
@@ -74,7 +74,7 @@
         batch(1, "INSERT INTO seat VALUES ($id, 9.50)", end = end)
 
     private fun ids(): List<SqlValue> =
-        connect(a).run(batch(1, "SELECT id FROM seat ORDER BY id", readOnly = true), patience).value()
+        connect(a).run(batch(1, "SELECT id FROM seat ORDER BY id", readOnly = true), timeout).value()
             .results.single().rows.map { it.single() }
 
     private fun <T> Either<MemberFailure, T>.value(): T = fold({ error(it) }, { it })
@@ -84,76 +84,76 @@
     @Nested
     inner class `a batch` {
         @Test
-        fun `commits at the position of the log after it`() {
+        fun `returns the log position after its commit`() {
             primary.position = "2/A"
-            val reply = connect(a).run(insert(1), patience).value()
+            val reply = connect(a).run(insert(1), timeout).value()
             expectThat(reply.point).isEqualTo(HistoryPoint(Term(1), LogPosition(0x2_0000_000A)))
             expectThat(ids()).containsExactly(SqlValue.Integer(1))
         }
 
         @Test
-        fun `keeps its transaction open and rolls it back`() {
+        fun `can keep its transaction open and roll it back later`() {
             val connection = connect(a)
-            connection.run(insert(1, BatchEnd.KEEP_OPEN), patience).value()
-            connection.run(insert(2, BatchEnd.KEEP_OPEN), patience).value()
-            connection.run(batch(1, end = BatchEnd.ROLLBACK), patience).value()
+            connection.run(insert(1, BatchEnd.KEEP_OPEN), timeout).value()
+            connection.run(insert(2, BatchEnd.KEEP_OPEN), timeout).value()
+            connection.run(batch(1, end = BatchEnd.ROLLBACK), timeout).value()
             expectThat(ids()).containsExactly()
-            connection.run(insert(3), patience).value()
+            connection.run(insert(3), timeout).value()
             expectThat(ids()).containsExactly(SqlValue.Integer(3))
         }
 
         @Test
         fun `rolls back after a failed statement`() {
             val connection = connect(a)
-            connection.run(insert(1, BatchEnd.KEEP_OPEN), patience).value()
-            expectThat(connection.run(insert(1), patience).failure()).isA<MemberFailure.StatementFailed>()
+            connection.run(insert(1, BatchEnd.KEEP_OPEN), timeout).value()
+            expectThat(connection.run(insert(1), timeout).failure()).isA<MemberFailure.StatementFailed>()
                 .get { sqlState }.isEqualTo("23505")
             expectThat(ids()).containsExactly()
         }
 
         @Test
-        fun `reads at a replica at its replayed position`() {
+        fun `reads at a replica and returns the replayed position`() {
             replica.position = "0/7"
-            val reply = connect(b).run(batch(1, "SELECT price FROM seat", readOnly = true), patience).value()
+            val reply = connect(b).run(batch(1, "SELECT price FROM seat", readOnly = true), timeout).value()
             expectThat(reply.point).isEqualTo(HistoryPoint(Term(1), LogPosition(7)))
         }
 
         @Test
-        fun `changes nothing at a replica`() {
-            expectThat(connect(b).run(insert(1), patience).failure()).isA<MemberFailure.NotPrimary>()
+        fun `with changes is rejected at a replica`() {
+            expectThat(connect(b).run(insert(1), timeout).failure()).isA<MemberFailure.NotPrimary>()
         }
 
         @Test
-        fun `keeps exact numbers exact`() {
-            connect(a).run(insert(1), patience).value()
-            val reply = connect(a).run(batch(1, "SELECT price FROM seat", readOnly = true), patience).value()
+        fun `returns decimal numbers without loss of precision`() {
+            connect(a).run(insert(1), timeout).value()
+            val reply = connect(a).run(batch(1, "SELECT price FROM seat", readOnly = true), timeout).value()
             expectThat(reply.results.single().rows.single()).containsExactly(SqlValue.Text("9.50"))
         }
 
         @Test
-        fun `without an answer in time ends its connection`() {
+        fun `without an answer within its timeout closes the connection`() {
             primary.execute("INSERT INTO seat VALUES (1, 1)")
-            val holder = primary.open().apply { autoCommit = false }
-            holder.createStatement().use { it.execute("UPDATE seat SET price = 2") }
+            val lockingConnection = primary.open().apply { autoCommit = false }
+            lockingConnection.createStatement().use { it.execute("UPDATE seat SET price = 2") }
             val connection = connect(a)
             val blocked = batch(1, "UPDATE seat SET price = 3")
             expectThat(connection.run(blocked, 100.milliseconds).failure()).isA<MemberFailure.NoAnswer>()
-            expectThat(connection.run(insert(2), patience).failure()).isA<MemberFailure.Unreachable>()
-            holder.rollback()
-            holder.close()
+            expectThat(connection.run(insert(2), timeout).failure()).isA<MemberFailure.Unreachable>()
+            lockingConnection.rollback()
+            lockingConnection.close()
         }
     }
 
     @Nested
-    inner class `the fence of a primary` {
+    inner class `the fencing of a primary` {
         @Test
-        fun `keeps a superseded primary from committing an open transaction`() {
+        fun `prevents a superseded primary from committing an open transaction`() {
             val connection = connect(a)
-            connection.run(insert(1, BatchEnd.KEEP_OPEN), patience).value()
-            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), patience).value()
-            val outcome = connection.run(batch(1), patience).failure()
+            connection.run(insert(1, BatchEnd.KEEP_OPEN), timeout).value()
+            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), timeout).value()
+            val outcome = connection.run(batch(1), timeout).failure()
             expectThat(outcome).isA<MemberFailure.StatementFailed>().get { sqlState }.isEqualTo("40001")
-            expectThat(connection.run(batch(1), patience).failure()).isA<MemberFailure.LowerTerm>()
+            expectThat(connection.run(batch(1), timeout).failure()).isA<MemberFailure.LowerTerm>()
             val rows = primary.open().use { open ->
                 open.createStatement().executeQuery("SELECT COUNT(*) FROM seat").run { next() to getInt(1) }
             }
@@ -161,24 +161,24 @@
         }
 
         @Test
-        fun `rejects what carries a lower term and what is not served yet`() {
-            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), patience).value()
-            expectThat(connect(a).run(insert(1), patience).failure()).isA<MemberFailure.LowerTerm>()
-            val later = batch(2, "INSERT INTO seat VALUES (1, 1)")
-            expectThat(connect(a).run(later, patience).failure()).isA<MemberFailure.NotPrimary>()
+        fun `rejects a batch of a lower term, and a batch of a term that is not served yet`() {
+            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), timeout).value()
+            expectThat(connect(a).run(insert(1), timeout).failure()).isA<MemberFailure.LowerTerm>()
+            val higherTermBatch = batch(2, "INSERT INTO seat VALUES (1, 1)")
+            expectThat(connect(a).run(higherTermBatch, timeout).failure()).isA<MemberFailure.NotPrimary>()
         }
 
         @Test
-        fun `serves a term only after it was accepted`() {
-            expectThat(adapter.port(a).promote(TermProposal(Term(2), vm), patience).failure())
+        fun `allows promotion only in an accepted term`() {
+            expectThat(adapter.port(a).promote(TermProposal(Term(2), vm), timeout).failure())
                 .isA<MemberFailure.NotPrimary>()
         }
 
         @Test
-        fun `accepts a term once, from one proposer`() {
-            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), patience).value()
-            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), patience).value()
-            expectThat(adapter.port(a).acceptTerm(TermProposal(Term(2), VmName("vm-2")), patience).failure())
+        fun `accepts a term from a single proposer, also repeatedly`() {
+            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), timeout).value()
+            adapter.port(a).acceptTerm(TermProposal(Term(2), vm), timeout).value()
+            expectThat(adapter.port(a).acceptTerm(TermProposal(Term(2), VmName("vm-2")), timeout).failure())
                 .isEqualTo(MemberFailure.LowerTerm(a, Step.PROMOTE, Term(2)))
         }
     }
@@ -187,7 +187,7 @@
     inner class `a replica` {
         @Test
         fun `accepts a term by pausing replay`() {
-            val report = adapter.port(b).acceptTerm(TermProposal(Term(2), vm), patience).value()
+            val report = adapter.port(b).acceptTerm(TermProposal(Term(2), vm), timeout).value()
             expectThat(replica.replayPaused).isTrue()
             expectThat(report) {
                 get { role }.isEqualTo(MemberRole.REPLICA)
@@ -197,31 +197,31 @@
         }
 
         @Test
-        fun `is promoted only by the proposer whose term it accepted`() {
+        fun `is promoted only by the proposer of the accepted term`() {
             val port = adapter.port(b)
             val proposal = TermProposal(Term(2), vm)
-            expectThat(port.promote(proposal, patience).failure()).isA<MemberFailure.NotPrimary>()
-            port.acceptTerm(proposal, patience).value()
-            expectThat(port.promote(proposal.copy(proposer = VmName("vm-2")), patience).failure())
+            expectThat(port.promote(proposal, timeout).failure()).isA<MemberFailure.NotPrimary>()
+            port.acceptTerm(proposal, timeout).value()
+            expectThat(port.promote(proposal.copy(proposer = VmName("vm-2")), timeout).failure())
                 .isA<MemberFailure.LowerTerm>()
-            val report = port.promote(proposal, patience).value()
+            val report = port.promote(proposal, timeout).value()
             expectThat(report) {
                 get { role }.isEqualTo(MemberRole.PRIMARY)
                 get { lastEntry.term }.isEqualTo(Term(2))
                 get { primaryContactAge }.isNull()
             }
-            expectThat(port.promote(proposal, patience).value()).isEqualTo(report)
+            expectThat(port.promote(proposal, timeout).value()).isEqualTo(report)
         }
 
         @Test
-        fun `resumes replay only behind the new primary`() {
+        fun `resumes replay only when it receives from the new primary`() {
             val port = adapter.port(b)
-            port.acceptTerm(TermProposal(Term(2), vm), patience).value()
-            expectThat(port.follow(Term(2), a, patience).failure()).isA<MemberFailure.StatementFailed>()
+            port.acceptTerm(TermProposal(Term(2), vm), timeout).value()
+            expectThat(port.follow(Term(2), a, timeout).failure()).isA<MemberFailure.StatementFailed>()
             replica.execute("INSERT INTO pg_stat_wal_receiver VALUES ('10.0.0.1', 5432, '2026-12-04 10:00:00+00')")
-            expectThat(port.follow(Term(1), a, patience).failure()).isA<MemberFailure.LowerTerm>()
+            expectThat(port.follow(Term(1), a, timeout).failure()).isA<MemberFailure.LowerTerm>()
             expectThat(replica.replayPaused).isTrue()
-            expectThat(port.follow(Term(2), a, patience).value().primaryContactAge).isEqualTo(5.seconds)
+            expectThat(port.follow(Term(2), a, timeout).value().primaryContactAge).isEqualTo(5.seconds)
             expectThat(replica.replayPaused).isFalse()
         }
     }
@@ -231,21 +231,21 @@
         private fun failing(state: String) = JdbcMembers(members) { throw SQLException("refused", state) }.port(a)
 
         @Test
-        fun `that is refused ran nothing`() {
-            expectThat(failing("53300").connect(patience).failure()).isA<MemberFailure.TooManyConnections>()
-            expectThat(failing("08001").connect(patience).failure()).isA<MemberFailure.Unreachable>()
-            expectThat(failing("08001").report(patience).failure()).isA<MemberFailure.Unreachable>()
+        fun `that is refused fails as too many connections or unreachable`() {
+            expectThat(failing("53300").connect(timeout).failure()).isA<MemberFailure.TooManyConnections>()
+            expectThat(failing("08001").connect(timeout).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(failing("08001").report(timeout).failure()).isA<MemberFailure.Unreachable>()
         }
 
         @Test
-        fun `that takes too long is unreachable`() {
-            val never = CountDownLatch(1)
+        fun `that exceeds its timeout fails as unreachable`() {
+            val released = CountDownLatch(1)
             val slow = JdbcMembers(members) {
-                never.await()
+                released.await()
                 primary.open()
             }
             expectThat(slow.port(a).connect(50.milliseconds).failure()).isA<MemberFailure.Unreachable>()
-            never.countDown()
+            released.countDown()
         }
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/LogSequenceNumberSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/adapter/jdbc/LogSequenceNumberSpec.kt
@@ -17,7 +17,7 @@
     }
 
     @Test
-    fun `refuses what is no position`() {
+    fun `returns null for text that is not a log sequence number`() {
         listOf("", "1", "/1", "1/", "1/2/3", "g/1", "123456789/1", "-1/1", "FFFFFFFF/0").forEach { text ->
             expectThat(LogSequenceNumber.parse(text)).describedAs(text).isNull()
         }
