--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/CallRunner.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/CallRunner.kt
@@ -15,30 +15,30 @@
 import kotlin.time.TimeMark
 import kotlin.time.TimeSource
 
-/** When a call may be sent again. */
-internal enum class Repeat {
-    /** Only when it is proved that it did not run. */
+/** Condition under which a failed call may be sent again. */
+internal enum class RetryCondition {
+    /** Only if the previous attempt is proved not to have run. */
     NOT_RUN,
 
-    /** Also when its outcome is unknown. */
+    /** Also if the outcome of the previous attempt is unknown. */
     ALWAYS,
 }
 
-/** One call of the callers' interface. */
+/** One call of the proxy's HTTP API. */
 internal data class Call(
     val method: Method,
     val path: String,
     val headers: List<Pair<String, String>>,
     val body: String,
-    val repeat: Repeat,
+    val retryCondition: RetryCondition,
     val deadline: Duration?,
     val entry: String? = null,
 )
 
-/** How one attempt ended, with the entry that was asked. */
+/** Outcome of one attempt, with the entry that it was sent to. */
 internal data class Attempt(val outcome: Outcome<Answer>, val entry: String)
 
-/** Sends calls until they have their outcome, by the rules that [KumquatknotClient] states. */
+/** Sends calls and retries them by the rules that [KumquatknotClient] documents. */
 internal class CallRunner(
     private val settings: ClientSettings,
     private val send: SendRequest,
@@ -49,26 +49,26 @@
 ) {
     private val nextEntry = AtomicInteger(random.nextInt(settings.entries.size))
 
-    /** Runs [call] in a session whose tokens [session] holds. */
+    /** Runs [call] with the tokens of [session] and updates these with each response. */
     fun run(call: Call, session: SessionTokens): Attempt {
-        val end = time.markNow() + (call.deadline ?: settings.deadline)
-        budget.earn()
+        val deadline = time.markNow() + (call.deadline ?: settings.deadline)
+        budget.recordRequest()
         var attempts = 0
         while (true) {
-            val attempt = attempt(call, session, end)
+            val attempt = sendOnce(call, session, deadline)
             attempts += 1
             val pause = pauseBeforeRetry(call, attempt.outcome, attempts) ?: return attempt
-            if (pause >= -end.elapsedNow() || !budget.spend()) return attempt
+            if (pause >= -deadline.elapsedNow() || !budget.tryAcquireRetry()) return attempt
             sleep(pause)
         }
     }
 
-    private fun attempt(call: Call, session: SessionTokens, end: TimeMark): Attempt {
+    private fun sendOnce(call: Call, session: SessionTokens, deadline: TimeMark): Attempt {
         val entry = call.entry ?: settings.entries[Math.floorMod(nextEntry.get(), settings.entries.size)]
-        val left = maxOf(-end.elapsedNow(), 1.milliseconds)
+        val remaining = maxOf(-deadline.elapsedNow(), 1.milliseconds)
         val sent = session.current()
         val outcome =
-            send(request(call, entry, sent, left), left + settings.grace).fold(::outcomeOf) { response ->
+            send(request(call, entry, sent, remaining), remaining + settings.grace).fold(::outcomeOf) { response ->
                 response.header(SESSION)?.let { session.replace(sent, it) }
                 outcomeOf(response)
             }
@@ -76,30 +76,30 @@
         return Attempt(outcome, entry)
     }
 
-    private fun request(call: Call, entry: String, tokens: Set<String>, left: Duration): Request {
+    private fun request(call: Call, entry: String, tokens: Set<String>, remaining: Duration): Request {
         val session = if (tokens.isEmpty()) emptyList() else listOf(SESSION to tokens.joinToString(","))
-        val own =
+        val commonHeaders =
             listOf(
                 "Authorization" to "Bearer ${settings.teamKey}",
                 "Content-Type" to "application/json",
-                "Kumquatknot-Deadline-Milliseconds" to left.inWholeMilliseconds.toString(),
+                "Kumquatknot-Deadline-Milliseconds" to remaining.inWholeMilliseconds.toString(),
             )
         return Request(
             call.method,
             entry.trimEnd('/') + call.path,
-        ).headers(own + session + call.headers).body(call.body)
+        ).headers(commonHeaders + session + call.headers).body(call.body)
     }
 
     private fun pauseBeforeRetry(call: Call, outcome: Outcome<Answer>, attempts: Int): Duration? =
         when (outcome) {
             is Outcome.Completed, is Outcome.CompletedWithoutAnswer -> null
             is Outcome.NotRun -> outcome.retryAfter?.let { maxOf(it, backoff(attempts)) }
-            is Outcome.Unknown -> if (call.repeat == Repeat.ALWAYS) backoff(attempts) else null
+            is Outcome.Unknown -> if (call.retryCondition == RetryCondition.ALWAYS) backoff(attempts) else null
         }
 
     private fun backoff(attempts: Int): Duration {
-        val longest = settings.shortestBackoff * (1 shl minOf(attempts, MAXIMUM_DOUBLINGS))
-        return longest * (1 + random.nextDouble()) / 2
+        val maximum = settings.initialBackoff * (1 shl minOf(attempts, MAXIMUM_DOUBLINGS))
+        return maximum * (1 + random.nextDouble()) / 2
     }
 
     private fun outcomeOf(failure: TransportFailure): Outcome<Answer> =
@@ -114,21 +114,21 @@
 
     private fun outcomeOf(response: Response): Outcome<Answer> =
         if (response.status.successful) {
-            parse { Outcome.Completed(JSON.decodeFromString(Answer.serializer(), response.bodyString())) }
+            catchUnreadable { Outcome.Completed(JSON.decodeFromString(Answer.serializer(), response.bodyString())) }
         } else {
-            parse { outcomeOf(JSON.decodeFromString(Problem.serializer(), response.bodyString())) }
+            catchUnreadable { outcomeOf(JSON.decodeFromString(Problem.serializer(), response.bodyString())) }
         }
 
     private fun outcomeOf(problem: Problem): Outcome<Answer> =
         when (problem.effect) {
             "completed" -> Outcome.CompletedWithoutAnswer(problem)
-            "not-run" -> Outcome.NotRun(problem, problem.retryAfter ?: impliedRetry(problem.status))
+            "not-run" -> Outcome.NotRun(problem, problem.retryAfter ?: defaultRetryAfter(problem.status))
             else -> Outcome.Unknown(problem, null, null)
         }
 
-    private fun impliedRetry(status: Int): Duration? = if (status == UNAVAILABLE) ZERO else null
+    private fun defaultRetryAfter(status: Int): Duration? = if (status == UNAVAILABLE) ZERO else null
 
-    private fun parse(parse: () -> Outcome<Answer>): Outcome<Answer> =
+    private fun catchUnreadable(parse: () -> Outcome<Answer>): Outcome<Answer> =
         Either.catchOrThrow<SerializationException, Outcome<Answer>> { parse() }.getOrElse {
             Outcome.Unknown(problem("unreadable-answer", "parse", "unknown", it.message.orEmpty()), null, null)
         }
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/IdempotencyKey.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/IdempotencyKey.kt
@@ -3,8 +3,8 @@
 import java.util.UUID
 
 /**
- * Key of work that may not be repeated: 1 to 255 visible ASCII characters, unique within team and database group. Keep
- * it with the order or booking that it belongs to, so that a restarted caller asks with the same one.
+ * Key that makes work run at most once: 1 to 255 visible ASCII characters, unique within team and database group. Store
+ * it with the order or booking that it belongs to, so that a restarted caller uses the same key again.
  */
 @JvmInline
 public value class IdempotencyKey(public val value: String) {
@@ -19,7 +19,7 @@
     public companion object {
         private const val MAXIMUM_LENGTH = 255
 
-        /** Returns a new random key. */
+        /** Returns a key made of a random UUID. */
         public fun random(): IdempotencyKey = IdempotencyKey(UUID.randomUUID().toString())
     }
 }
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/KumquatknotClient.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/KumquatknotClient.kt
@@ -9,38 +9,38 @@
 /**
  * Settings of a [KumquatknotClient].
  *
- * @property entries base addresses of the proxy's entry points, such as `http://10.0.0.1:7400`; at least one.
- * @property teamKey the team's key.
- * @property deadline time within which a call ends where the call says nothing else.
- * @property grace time beyond the deadline in which the proxy's own final answer is still awaited.
- * @property shortestBackoff pause before the first retry where the proxy names none; it doubles with each attempt.
+ * @property entries base URLs of the proxy's entries, such as `http://10.0.0.1:7400`; at least one.
+ * @property teamKey key that authenticates the team.
+ * @property deadline time within which a call ends, unless the call has its own deadline.
+ * @property grace time beyond the deadline during which the proxy's final answer is still awaited.
+ * @property initialBackoff pause before the first retry if the proxy requests none; it doubles with each attempt.
  */
 public data class ClientSettings(
     val entries: List<String>,
     val teamKey: String,
     val deadline: Duration = 10.seconds,
     val grace: Duration = 500.milliseconds,
-    val shortestBackoff: Duration = 20.milliseconds,
+    val initialBackoff: Duration = 20.milliseconds,
 ) {
     init {
-        require(entries.isNotEmpty()) { "at least one entry address is needed" }
+        require(entries.isNotEmpty()) { "entries is empty: the client needs the base URL of at least one entry" }
     }
 }
 
 /**
- * Client of kumquatknot's callers' interface. It carries the session token, idempotency keys and deadlines, and
- * retries by these rules, under [budget] and within the deadline:
+ * Client of the proxy's HTTP API. It sends session tokens, idempotency keys and deadlines, and retries failed calls
+ * within [budget] and the deadline by these rules:
  *
- * - work that was proved not to have run, after the time that the proxy asks for, at the next entry;
- * - reads, and writes that carry a key or are declared idempotent, also when their outcome is unknown;
+ * - work that is proved not to have run is sent to the next entry, after the time that the proxy requests;
+ * - reads, and writes with a key or declared idempotent, are also sent again if their outcome is unknown;
  * - a commit of unknown outcome is never sent again but resolved by its key.
  *
  * Thread-safe.
  *
- * @param send carries requests; replace it to run without a network.
+ * @param send sends requests; replace it to run without a network.
  * @param time source of monotonic time.
  * @param sleep waits before a retry.
- * @param random spreads retries and the first entry over callers.
+ * @param random source of jitter for retries and of the first entry, which spreads callers over the entries.
  */
 public class KumquatknotClient(
     settings: ClientSettings,
@@ -52,6 +52,6 @@
 ) {
     private val calls = CallRunner(settings, send, budget, time, sleep, random)
 
-    /** Starts a session, or goes on with one from the [tokens] of an earlier [Session.tokens]. */
+    /** Starts a session, or continues one with the [tokens] that an earlier [Session.tokens] returned. */
     public fun session(tokens: Set<String> = emptySet()): Session = Session(calls, tokens)
 }
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Outcome.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Outcome.kt
@@ -5,13 +5,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Why a request did not get its answer (RFC 9457).
+ * Problem details of a request that got no answer (RFC 9457).
  *
  * @property type URN of the reason, stable across versions.
- * @property status HTTP status; 0 where no proxy answered.
- * @property instance identity of the request, as in the proxy's logs.
- * @property step step at which it failed.
- * @property peer other end at which it failed.
+ * @property status HTTP status; 0 if no proxy answered.
+ * @property instance ID of the request, as in the proxy's logs.
+ * @property step step in which the request failed.
+ * @property peer remote end at which the request failed.
  * @property effect `completed`, `not-run` or `unknown`.
  */
 @Serializable
@@ -26,25 +26,25 @@
     val effect: String,
     val retryAfterMilliseconds: Long? = null,
 ) {
-    /** When to come back, where that helps. */
+    /** Time after which a retry may help, or null if a retry does not help. */
     val retryAfter: Duration? get() = retryAfterMilliseconds?.milliseconds
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 public sealed interface Outcome<out T> {
     /** The work ran, its effect is kept, and [value] is its answer. */
     public data class Completed<out T>(val value: T) : Outcome<T>
 
-    /** The request did not get its answer, for the reason [problem]. */
+    /** The request got no answer, for the reason [problem]. */
     public sealed interface Failed : Outcome<Nothing> {
-        /** Why the request did not get its answer. */
+        /** Reason why the request got no answer. */
         public val problem: Problem
     }
 
-    /** The work ran and its effect is kept, but the answer could not be given, for example because of its size. */
+    /** The work ran and its effect is kept, but its answer could not be returned, for example because of its size. */
     public data class CompletedWithoutAnswer(override val problem: Problem) : Failed
 
-    /** It is proved that the work did not run. [retryAfter] tells when to come back, where that helps. */
+    /** The work is proved not to have run. A retry may help after [retryAfter]; null if a retry does not help. */
     public data class NotRun(override val problem: Problem, val retryAfter: Duration?) : Failed
 
     /**
@@ -55,10 +55,10 @@
     public class Unknown internal constructor(
         override val problem: Problem,
         public val key: IdempotencyKey?,
-        private val ask: ((IdempotencyKey) -> Outcome<Answer>)?,
+        private val resolveByKey: ((IdempotencyKey) -> Outcome<Answer>)?,
     ) : Failed {
-        /** Asks the proxy what became of the work; returns this outcome where the work carried no key. */
-        public fun resolve(): Outcome<Answer> = if (key != null && ask != null) ask(key) else this
+        /** Asks the proxy for the outcome of the work; returns this outcome if the work had no key. */
+        public fun resolve(): Outcome<Answer> = if (key != null && resolveByKey != null) resolveByKey(key) else this
 
         override fun toString(): String = "Unknown(problem=$problem, key=$key)"
     }
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/RetryBudget.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/RetryBudget.kt
@@ -1,31 +1,31 @@
 package dev.kumquatknot.client
 
 /**
- * Bounds retries to a share of the requests, so that retries never feed an overload. Each request earns [share] of a
- * retry, and at most [reserve] retries are kept in hand. Thread-safe.
+ * Limits retries to a ratio of the requests, so that retries never amplify an overload. Each request adds [retryRatio]
+ * to the budget, up to [maximumRetries]; each retry takes 1 from it. Thread-safe.
  */
 public class RetryBudget(
-    private val share: Double = DEFAULT_SHARE,
-    private val reserve: Double = DEFAULT_RESERVE,
+    private val retryRatio: Double = DEFAULT_RETRY_RATIO,
+    private val maximumRetries: Double = DEFAULT_MAXIMUM_RETRIES,
 ) {
-    private var available = reserve
+    private var available = maximumRetries
 
-    /** Counts a request in. */
+    /** Adds the share of one request to the budget. */
     @Synchronized
-    public fun earn() {
-        available = minOf(reserve, available + share)
+    public fun recordRequest() {
+        available = minOf(maximumRetries, available + retryRatio)
     }
 
-    /** Takes one retry out of the budget; false where none is left. */
+    /** Takes one retry from the budget; returns false if the budget is exhausted. */
     @Synchronized
-    public fun spend(): Boolean {
+    public fun tryAcquireRetry(): Boolean {
         if (available < 1) return false
         available -= 1
         return true
     }
 
     private companion object {
-        const val DEFAULT_SHARE = 0.1
-        const val DEFAULT_RESERVE = 10.0
+        const val DEFAULT_RETRY_RATIO = 0.1
+        const val DEFAULT_MAXIMUM_RETRIES = 10.0
     }
 }
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Session.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Session.kt
@@ -8,21 +8,21 @@
 import kotlin.time.Duration
 
 /**
- * A session that sees its own writes at every entry. Requests of one session may run in parallel, up to
- * [MAXIMUM_PARALLEL]; more wait. Thread-safe.
+ * A session with read-your-writes consistency at every entry. Up to [MAXIMUM_PARALLEL] requests of a session run in
+ * parallel; further requests wait. Thread-safe.
  */
 public class Session internal constructor(private val calls: CallRunner, tokens: Set<String>) {
     private val sessionTokens = SessionTokens(tokens)
-    private val places = Semaphore(MAXIMUM_PARALLEL)
+    private val requestPermits = Semaphore(MAXIMUM_PARALLEL)
 
-    /** Tokens to go on with this session elsewhere, for example in a cookie; small, and opaque to callers. */
+    /** Tokens to continue this session elsewhere, stored for example in a cookie; small, and opaque to callers. */
     public val tokens: Set<String> get() = sessionTokens.current()
 
     /**
-     * Runs statements that change nothing.
+     * Runs read-only statements.
      *
-     * @param maximumAge age of data that this read accepts, where it is stricter than its kind's.
-     * @param deadline time within which the answer is of use, where it differs from the client's.
+     * @param maximumAge maximum age of the data; it takes effect only if it is stricter than that of the kind.
+     * @param deadline time within which the answer is needed; null for the deadline of the client settings.
      */
     public fun read(
         database: String,
@@ -33,14 +33,15 @@
     ): Outcome<Answer> {
         val age = maximumAge?.let { "Kumquatknot-Maximum-Age-Milliseconds" to it.inWholeMilliseconds.toString() }
         val headers = listOfNotNull(KIND to kind, age)
-        return run(Call(POST, path(database, "read"), headers, body(statements), Repeat.ALWAYS, deadline)).outcome
+        return run(Call(POST, path(database, "read"), headers, body(statements), RetryCondition.ALWAYS, deadline))
+            .outcome
     }
 
     /**
      * Runs statements in one transaction.
      *
-     * @param key makes the work run at most once; kinds of work that may not be repeated need one.
-     * @param idempotent whether running the statements twice does no harm, so that they may be sent again without key.
+     * @param key makes the work run at most once; kinds of work that run at most once require one.
+     * @param idempotent whether the statements may safely run twice, so that they may be sent again without a key.
      */
     public fun write(
         database: String,
@@ -50,12 +51,12 @@
         idempotent: Boolean = false,
         deadline: Duration? = null,
     ): Outcome<Answer> {
-        val repeat = if (key != null || idempotent) Repeat.ALWAYS else Repeat.NOT_RUN
-        val call = Call(POST, path(database, "write"), headers(kind, key), body(statements), repeat, deadline)
+        val retryCondition = if (key != null || idempotent) RetryCondition.ALWAYS else RetryCondition.NOT_RUN
+        val call = Call(POST, path(database, "write"), headers(kind, key), body(statements), retryCondition, deadline)
         return run(call).outcome.resolvable(database, kind, key)
     }
 
-    /** Asks for the outcome of work that carried [key]. */
+    /** Queries the outcome of the work with [key]. */
     public fun resolve(
         database: String,
         kind: String,
@@ -63,17 +64,17 @@
         deadline: Duration? = null,
     ): Outcome<Answer> {
         val path = path(database, "outcomes/${encode(key.value)}")
-        return run(Call(Method.GET, path, listOf(KIND to kind), "", Repeat.ALWAYS, deadline))
+        return run(Call(Method.GET, path, listOf(KIND to kind), "", RetryCondition.ALWAYS, deadline))
             .outcome
             .resolvable(database, kind, key)
     }
 
     /**
-     * Runs [work] in an interactive transaction and commits it; a failed statement or an exception rolls it back. The
-     * transaction stays at the entry that began it. A commit of unknown outcome is resolved by [key], where there is
-     * one.
+     * Runs [work] in an interactive transaction and commits it; a failed statement or an exception rolls it back. All
+     * requests of the transaction go to the entry that began it. A commit of unknown outcome is resolved by [key], if
+     * there is one.
      *
-     * @param deadline time within which each request of the transaction has its answer.
+     * @param deadline time limit of each request of the transaction; null for the deadline of the client settings.
      */
     public fun <T> transaction(
         database: String,
@@ -84,11 +85,11 @@
     ): Outcome<T> = TransactionRunner(this, database, kind, key, deadline).run(work)
 
     internal fun run(call: Call): Attempt {
-        places.acquire()
+        requestPermits.acquire()
         try {
             return calls.run(call, sessionTokens)
         } finally {
-            places.release()
+            requestPermits.release()
         }
     }
 
@@ -96,7 +97,7 @@
         if (this is Outcome.Unknown) Outcome.Unknown(problem, key) { resolve(database, kind, it) } else this
 
     internal companion object {
-        /** Most requests of one session at the same time. */
+        /** Maximum number of parallel requests of one session. */
         const val MAXIMUM_PARALLEL = 8
         const val KIND = "Kumquatknot-Kind"
         private const val IDEMPOTENCY_KEY = "Idempotency-Key"
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/SessionTokens.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/SessionTokens.kt
@@ -1,17 +1,17 @@
 package dev.kumquatknot.client
 
 /**
- * Tokens of one session. A request carries all tokens that are known when it leaves, and its answer's token covers
- * these; so answers of parallel requests never make the session forget what another one has seen. Thread-safe.
+ * Tokens of one session. A request is sent with all current tokens, and the token in its answer covers these. So the
+ * answer to one of several parallel requests never discards the state that another one observed. Thread-safe.
  */
 internal class SessionTokens(tokens: Set<String>) {
     private var tokens = tokens
 
-    /** Returns the tokens that together cover all answers so far. */
+    /** Returns the tokens that together cover all answers received so far. */
     @Synchronized
     fun current(): Set<String> = tokens
 
-    /** Takes in [token], the answer to a request that carried [sent]. */
+    /** Replaces the tokens [sent] with a request by the [token] of its answer. */
     @Synchronized
     fun replace(sent: Set<String>, token: String) {
         tokens = tokens - sent + token
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Statements.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Statements.kt
@@ -8,12 +8,12 @@
 @Serializable
 public data class Statement(val text: String, val parameters: List<JsonPrimitive> = emptyList())
 
-/** Returns the statement [text] with parameters that are null, strings, truth values or numbers. */
+/** Returns the statement [text]; its parameters are null, strings, booleans, numbers or [JsonPrimitive]s. */
 public fun statement(text: String, vararg parameters: Any?): Statement = Statement(text, parameters.map(::toScalar))
 
 /**
- * Result of one statement: rows for a query, [updatedRows] for a change. A cell is a JSON scalar; its `long`, `double`,
- * `boolean` and `content` read it, and 64-bit integers are exact.
+ * Result of one statement: rows for a query, [updatedRows] for a change. A cell is a JSON scalar that is read by its
+ * `long`, `double`, `boolean` or `content`; 64-bit integers are exact.
  */
 @Serializable
 public data class StatementResult(
@@ -25,9 +25,9 @@
 /**
  * Answer to completed work.
  *
- * @property servedBy the member that ran it, where one was asked.
- * @property role `primary` or `replica`.
- * @property repeated whether this is the first answer to the same idempotency key, given again.
+ * @property servedBy the member that ran the work; null if none was involved.
+ * @property role role of that member, `primary` or `replica`.
+ * @property repeated whether this repeats the stored answer to an earlier request with the same idempotency key.
  */
 @Serializable
 public data class Answer(
--- a/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Transport.kt
+++ b/kumquatknot-client/src/main/kotlin/dev/kumquatknot/client/Transport.kt
@@ -20,22 +20,22 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** Why an exchange gave no response. */
+/** Reason why a request got no response. */
 public sealed interface TransportFailure {
-    /** Text for logs. */
+    /** Description for logs. */
     public val detail: String
 
-    /** No connection was made, so the request never left. */
+    /** No connection was established, so the request was not sent. */
     public data class NotSent(override val detail: String) : TransportFailure
 
-    /** The request may have left, and no response came. */
+    /** The request may have been sent, but no response arrived. */
     public data class NoAnswer(override val detail: String) : TransportFailure
 }
 
-/** Sends a request and waits for its response at most the given time. */
+/** Sends a request and waits at most the given time for its response. */
 public typealias SendRequest = (request: Request, timeout: Duration) -> Either<TransportFailure, Response>
 
-/** Sends requests with the HTTP client of the JDK over HTTP/1.1, and keeps connections open between them. */
+/** Sends requests over HTTP/1.1 with the HTTP client of the JDK, over persistent connections. */
 public class JavaTransport(connectTimeout: Duration = 2.seconds) {
     private val http =
         HttpClient.newBuilder()
@@ -43,7 +43,7 @@
             .connectTimeout(connectTimeout.toJavaDuration())
             .build()
 
-    /** Sends [request] and waits for its response at most [timeout]. */
+    /** Sends [request] and waits at most [timeout] for its response. */
     public fun send(request: Request, timeout: Duration): Either<TransportFailure, Response> =
         try {
             val response = http.send(request.toHttpRequest(timeout), BodyHandlers.ofByteArray())
