--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/ConfigurationReply.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/ConfigurationReply.java
@@ -55,7 +55,7 @@
   private volatile java.lang.Object configuration_ = "";
   /**
    * <pre>
-   * JSON; empty where the known number is the highest.
+   * JSON; empty if the known number is the highest.
    * </pre>
    *
    * <code>string configuration = 1;</code>
@@ -76,7 +76,7 @@
   }
   /**
    * <pre>
-   * JSON; empty where the known number is the highest.
+   * JSON; empty if the known number is the highest.
    * </pre>
    *
    * <code>string configuration = 1;</code>
@@ -467,7 +467,7 @@
     private java.lang.Object configuration_ = "";
     /**
      * <pre>
-     * JSON; empty where the known number is the highest.
+     * JSON; empty if the known number is the highest.
      * </pre>
      *
      * <code>string configuration = 1;</code>
@@ -487,7 +487,7 @@
     }
     /**
      * <pre>
-     * JSON; empty where the known number is the highest.
+     * JSON; empty if the known number is the highest.
      * </pre>
      *
      * <code>string configuration = 1;</code>
@@ -508,7 +508,7 @@
     }
     /**
      * <pre>
-     * JSON; empty where the known number is the highest.
+     * JSON; empty if the known number is the highest.
      * </pre>
      *
      * <code>string configuration = 1;</code>
@@ -525,7 +525,7 @@
     }
     /**
      * <pre>
-     * JSON; empty where the known number is the highest.
+     * JSON; empty if the known number is the highest.
      * </pre>
      *
      * <code>string configuration = 1;</code>
@@ -539,7 +539,7 @@
     }
     /**
      * <pre>
-     * JSON; empty where the known number is the highest.
+     * JSON; empty if the known number is the highest.
      * </pre>
      *
      * <code>string configuration = 1;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/ConfigurationReplyOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/ConfigurationReplyOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * JSON; empty where the known number is the highest.
+   * JSON; empty if the known number is the highest.
    * </pre>
    *
    * <code>string configuration = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getConfiguration();
   /**
    * <pre>
-   * JSON; empty where the known number is the highest.
+   * JSON; empty if the known number is the highest.
    * </pre>
    *
    * <code>string configuration = 1;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/GossipMessage.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/GossipMessage.java
@@ -174,7 +174,7 @@
   private boolean full_ = false;
   /**
    * <pre>
-   * Asks for all records in the reply.
+   * Requests all records in the reply.
    * </pre>
    *
    * <code>bool full = 5;</code>
@@ -1324,7 +1324,7 @@
     private boolean full_ ;
     /**
      * <pre>
-     * Asks for all records in the reply.
+     * Requests all records in the reply.
      * </pre>
      *
      * <code>bool full = 5;</code>
@@ -1336,7 +1336,7 @@
     }
     /**
      * <pre>
-     * Asks for all records in the reply.
+     * Requests all records in the reply.
      * </pre>
      *
      * <code>bool full = 5;</code>
@@ -1352,7 +1352,7 @@
     }
     /**
      * <pre>
-     * Asks for all records in the reply.
+     * Requests all records in the reply.
      * </pre>
      *
      * <code>bool full = 5;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/GossipMessageOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/GossipMessageOrBuilder.java
@@ -81,7 +81,7 @@
 
   /**
    * <pre>
-   * Asks for all records in the reply.
+   * Requests all records in the reply.
    * </pre>
    *
    * <code>bool full = 5;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/Kind.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/Kind.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What the serving node has to know of the kind of work, so that both need not have the same configuration.
+ * Properties of the kind of work that the serving node needs, so that both nodes need not have the same configuration.
  * </pre>
  *
  * Protobuf type {@code dev.kumquatknot.node.Kind}
@@ -419,7 +419,7 @@
   }
   /**
    * <pre>
-   * What the serving node has to know of the kind of work, so that both need not have the same configuration.
+   * Properties of the kind of work that the serving node needs, so that both nodes need not have the same configuration.
    * </pre>
    *
    * Protobuf type {@code dev.kumquatknot.node.Kind}
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/MemberStatus.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/MemberStatus.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What the serving node knows of the member's group and of the member's load.
+ * State of the member's group and load of the member, as known to the serving node.
  * </pre>
  *
  * Protobuf type {@code dev.kumquatknot.node.MemberStatus}
@@ -70,7 +70,7 @@
   private volatile java.lang.Object primary_ = "";
   /**
    * <pre>
-   * Empty where no primary is known.
+   * Empty if no primary is known.
    * </pre>
    *
    * <code>string primary = 2;</code>
@@ -91,7 +91,7 @@
   }
   /**
    * <pre>
-   * Empty where no primary is known.
+   * Empty if no primary is known.
    * </pre>
    *
    * <code>string primary = 2;</code>
@@ -186,7 +186,7 @@
   private long lagMicros_ = 0L;
   /**
    * <pre>
-   * Recent time that reads waited for the member to reach a point of their session.
+   * Time that recent reads waited for the member to reach the point of their session.
    * </pre>
    *
    * <code>int64 lag_micros = 8;</code>
@@ -468,7 +468,7 @@
   }
   /**
    * <pre>
-   * What the serving node knows of the member's group and of the member's load.
+   * State of the member's group and load of the member, as known to the serving node.
    * </pre>
    *
    * Protobuf type {@code dev.kumquatknot.node.MemberStatus}
@@ -754,7 +754,7 @@
     private java.lang.Object primary_ = "";
     /**
      * <pre>
-     * Empty where no primary is known.
+     * Empty if no primary is known.
      * </pre>
      *
      * <code>string primary = 2;</code>
@@ -774,7 +774,7 @@
     }
     /**
      * <pre>
-     * Empty where no primary is known.
+     * Empty if no primary is known.
      * </pre>
      *
      * <code>string primary = 2;</code>
@@ -795,7 +795,7 @@
     }
     /**
      * <pre>
-     * Empty where no primary is known.
+     * Empty if no primary is known.
      * </pre>
      *
      * <code>string primary = 2;</code>
@@ -812,7 +812,7 @@
     }
     /**
      * <pre>
-     * Empty where no primary is known.
+     * Empty if no primary is known.
      * </pre>
      *
      * <code>string primary = 2;</code>
@@ -826,7 +826,7 @@
     }
     /**
      * <pre>
-     * Empty where no primary is known.
+     * Empty if no primary is known.
      * </pre>
      *
      * <code>string primary = 2;</code>
@@ -1093,7 +1093,7 @@
     private long lagMicros_ ;
     /**
      * <pre>
-     * Recent time that reads waited for the member to reach a point of their session.
+     * Time that recent reads waited for the member to reach the point of their session.
      * </pre>
      *
      * <code>int64 lag_micros = 8;</code>
@@ -1105,7 +1105,7 @@
     }
     /**
      * <pre>
-     * Recent time that reads waited for the member to reach a point of their session.
+     * Time that recent reads waited for the member to reach the point of their session.
      * </pre>
      *
      * <code>int64 lag_micros = 8;</code>
@@ -1121,7 +1121,7 @@
     }
     /**
      * <pre>
-     * Recent time that reads waited for the member to reach a point of their session.
+     * Time that recent reads waited for the member to reach the point of their session.
      * </pre>
      *
      * <code>int64 lag_micros = 8;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/MemberStatusOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/MemberStatusOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * Empty where no primary is known.
+   * Empty if no primary is known.
    * </pre>
    *
    * <code>string primary = 2;</code>
@@ -27,7 +27,7 @@
   java.lang.String getPrimary();
   /**
    * <pre>
-   * Empty where no primary is known.
+   * Empty if no primary is known.
    * </pre>
    *
    * <code>string primary = 2;</code>
@@ -77,7 +77,7 @@
 
   /**
    * <pre>
-   * Recent time that reads waited for the member to reach a point of their session.
+   * Time that recent reads waited for the member to reach the point of their session.
    * </pre>
    *
    * <code>int64 lag_micros = 8;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/NodeGrpc.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/NodeGrpc.java
@@ -4,7 +4,7 @@
 
 /**
  * <pre>
- * What nodes ask of each other.
+ * Calls between nodes.
  * </pre>
  */
 @io.grpc.stub.annotations.GrpcGenerated
@@ -231,14 +231,14 @@
 
   /**
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public interface AsyncService {
 
     /**
      * <pre>
-     * Runs work at a member through the connections that this node holds.
+     * Runs work at a member over the member connections of this node.
      * </pre>
      */
     default void execute(dev.kumquatknot.protocol.node.WorkRequest request,
@@ -248,7 +248,7 @@
 
     /**
      * <pre>
-     * Exchanges news of VMs, primaries and the configuration number; also serves as the probe of a node.
+     * Exchanges records of VMs and primaries and the configuration number; also serves as a liveness probe of a node.
      * </pre>
      */
     default void gossip(dev.kumquatknot.protocol.node.GossipMessage request,
@@ -268,7 +268,7 @@
 
     /**
      * <pre>
-     * Returns the configuration in force where its number is higher than the known one.
+     * Returns the current configuration if its number is higher than the known one.
      * </pre>
      */
     default void fetchConfiguration(dev.kumquatknot.protocol.node.ConfigurationRequest request,
@@ -278,7 +278,7 @@
 
     /**
      * <pre>
-     * Tells when this node last heard from a member.
+     * Returns when a member last answered this node.
      * </pre>
      */
     default void vantage(dev.kumquatknot.protocol.node.VantageRequest request,
@@ -290,7 +290,7 @@
   /**
    * Base class for the server implementation of the service Node.
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public static abstract class NodeImplBase
@@ -304,7 +304,7 @@
   /**
    * A stub to allow clients to do asynchronous rpc calls to service Node.
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public static final class NodeStub
@@ -322,7 +322,7 @@
 
     /**
      * <pre>
-     * Runs work at a member through the connections that this node holds.
+     * Runs work at a member over the member connections of this node.
      * </pre>
      */
     public void execute(dev.kumquatknot.protocol.node.WorkRequest request,
@@ -333,7 +333,7 @@
 
     /**
      * <pre>
-     * Exchanges news of VMs, primaries and the configuration number; also serves as the probe of a node.
+     * Exchanges records of VMs and primaries and the configuration number; also serves as a liveness probe of a node.
      * </pre>
      */
     public void gossip(dev.kumquatknot.protocol.node.GossipMessage request,
@@ -355,7 +355,7 @@
 
     /**
      * <pre>
-     * Returns the configuration in force where its number is higher than the known one.
+     * Returns the current configuration if its number is higher than the known one.
      * </pre>
      */
     public void fetchConfiguration(dev.kumquatknot.protocol.node.ConfigurationRequest request,
@@ -366,7 +366,7 @@
 
     /**
      * <pre>
-     * Tells when this node last heard from a member.
+     * Returns when a member last answered this node.
      * </pre>
      */
     public void vantage(dev.kumquatknot.protocol.node.VantageRequest request,
@@ -379,7 +379,7 @@
   /**
    * A stub to allow clients to do synchronous rpc calls to service Node.
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public static final class NodeBlockingV2Stub
@@ -397,7 +397,7 @@
 
     /**
      * <pre>
-     * Runs work at a member through the connections that this node holds.
+     * Runs work at a member over the member connections of this node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.WorkReply execute(dev.kumquatknot.protocol.node.WorkRequest request) throws io.grpc.StatusException {
@@ -407,7 +407,7 @@
 
     /**
      * <pre>
-     * Exchanges news of VMs, primaries and the configuration number; also serves as the probe of a node.
+     * Exchanges records of VMs and primaries and the configuration number; also serves as a liveness probe of a node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.GossipMessage gossip(dev.kumquatknot.protocol.node.GossipMessage request) throws io.grpc.StatusException {
@@ -427,7 +427,7 @@
 
     /**
      * <pre>
-     * Returns the configuration in force where its number is higher than the known one.
+     * Returns the current configuration if its number is higher than the known one.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.ConfigurationReply fetchConfiguration(dev.kumquatknot.protocol.node.ConfigurationRequest request) throws io.grpc.StatusException {
@@ -437,7 +437,7 @@
 
     /**
      * <pre>
-     * Tells when this node last heard from a member.
+     * Returns when a member last answered this node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.VantageReply vantage(dev.kumquatknot.protocol.node.VantageRequest request) throws io.grpc.StatusException {
@@ -449,7 +449,7 @@
   /**
    * A stub to allow clients to do limited synchronous rpc calls to service Node.
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public static final class NodeBlockingStub
@@ -467,7 +467,7 @@
 
     /**
      * <pre>
-     * Runs work at a member through the connections that this node holds.
+     * Runs work at a member over the member connections of this node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.WorkReply execute(dev.kumquatknot.protocol.node.WorkRequest request) {
@@ -477,7 +477,7 @@
 
     /**
      * <pre>
-     * Exchanges news of VMs, primaries and the configuration number; also serves as the probe of a node.
+     * Exchanges records of VMs and primaries and the configuration number; also serves as a liveness probe of a node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.GossipMessage gossip(dev.kumquatknot.protocol.node.GossipMessage request) {
@@ -497,7 +497,7 @@
 
     /**
      * <pre>
-     * Returns the configuration in force where its number is higher than the known one.
+     * Returns the current configuration if its number is higher than the known one.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.ConfigurationReply fetchConfiguration(dev.kumquatknot.protocol.node.ConfigurationRequest request) {
@@ -507,7 +507,7 @@
 
     /**
      * <pre>
-     * Tells when this node last heard from a member.
+     * Returns when a member last answered this node.
      * </pre>
      */
     public dev.kumquatknot.protocol.node.VantageReply vantage(dev.kumquatknot.protocol.node.VantageRequest request) {
@@ -519,7 +519,7 @@
   /**
    * A stub to allow clients to do ListenableFuture-style rpc calls to service Node.
    * <pre>
-   * What nodes ask of each other.
+   * Calls between nodes.
    * </pre>
    */
   public static final class NodeFutureStub
@@ -537,7 +537,7 @@
 
     /**
      * <pre>
-     * Runs work at a member through the connections that this node holds.
+     * Runs work at a member over the member connections of this node.
      * </pre>
      */
     public com.google.common.util.concurrent.ListenableFuture<dev.kumquatknot.protocol.node.WorkReply> execute(
@@ -548,7 +548,7 @@
 
     /**
      * <pre>
-     * Exchanges news of VMs, primaries and the configuration number; also serves as the probe of a node.
+     * Exchanges records of VMs and primaries and the configuration number; also serves as a liveness probe of a node.
      * </pre>
      */
     public com.google.common.util.concurrent.ListenableFuture<dev.kumquatknot.protocol.node.GossipMessage> gossip(
@@ -570,7 +570,7 @@
 
     /**
      * <pre>
-     * Returns the configuration in force where its number is higher than the known one.
+     * Returns the current configuration if its number is higher than the known one.
      * </pre>
      */
     public com.google.common.util.concurrent.ListenableFuture<dev.kumquatknot.protocol.node.ConfigurationReply> fetchConfiguration(
@@ -581,7 +581,7 @@
 
     /**
      * <pre>
-     * Tells when this node last heard from a member.
+     * Returns when a member last answered this node.
      * </pre>
      */
     public com.google.common.util.concurrent.ListenableFuture<dev.kumquatknot.protocol.node.VantageReply> vantage(
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/VantageReply.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/VantageReply.java
@@ -53,7 +53,7 @@
   private long heardAgoMicros_ = 0L;
   /**
    * <pre>
-   * Absent where this node has not heard from the member.
+   * Absent if the member has never answered this node.
    * </pre>
    *
    * <code>optional int64 heard_ago_micros = 1;</code>
@@ -65,7 +65,7 @@
   }
   /**
    * <pre>
-   * Absent where this node has not heard from the member.
+   * Absent if the member has never answered this node.
    * </pre>
    *
    * <code>optional int64 heard_ago_micros = 1;</code>
@@ -418,7 +418,7 @@
     private long heardAgoMicros_ ;
     /**
      * <pre>
-     * Absent where this node has not heard from the member.
+     * Absent if the member has never answered this node.
      * </pre>
      *
      * <code>optional int64 heard_ago_micros = 1;</code>
@@ -430,7 +430,7 @@
     }
     /**
      * <pre>
-     * Absent where this node has not heard from the member.
+     * Absent if the member has never answered this node.
      * </pre>
      *
      * <code>optional int64 heard_ago_micros = 1;</code>
@@ -442,7 +442,7 @@
     }
     /**
      * <pre>
-     * Absent where this node has not heard from the member.
+     * Absent if the member has never answered this node.
      * </pre>
      *
      * <code>optional int64 heard_ago_micros = 1;</code>
@@ -458,7 +458,7 @@
     }
     /**
      * <pre>
-     * Absent where this node has not heard from the member.
+     * Absent if the member has never answered this node.
      * </pre>
      *
      * <code>optional int64 heard_ago_micros = 1;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/VantageReplyOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/VantageReplyOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Absent where this node has not heard from the member.
+   * Absent if the member has never answered this node.
    * </pre>
    *
    * <code>optional int64 heard_ago_micros = 1;</code>
@@ -21,7 +21,7 @@
   boolean hasHeardAgoMicros();
   /**
    * <pre>
-   * Absent where this node has not heard from the member.
+   * Absent if the member has never answered this node.
    * </pre>
    *
    * <code>optional int64 heard_ago_micros = 1;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkAnswer.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkAnswer.java
@@ -143,7 +143,7 @@
   private long transaction_ = 0L;
   /**
    * <pre>
-   * Zero where no transaction was started.
+   * Zero if no transaction was started.
    * </pre>
    *
    * <code>int64 transaction = 5;</code>
@@ -1041,7 +1041,7 @@
     private long transaction_ ;
     /**
      * <pre>
-     * Zero where no transaction was started.
+     * Zero if no transaction was started.
      * </pre>
      *
      * <code>int64 transaction = 5;</code>
@@ -1053,7 +1053,7 @@
     }
     /**
      * <pre>
-     * Zero where no transaction was started.
+     * Zero if no transaction was started.
      * </pre>
      *
      * <code>int64 transaction = 5;</code>
@@ -1069,7 +1069,7 @@
     }
     /**
      * <pre>
-     * Zero where no transaction was started.
+     * Zero if no transaction was started.
      * </pre>
      *
      * <code>int64 transaction = 5;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkAnswerOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkAnswerOrBuilder.java
@@ -63,7 +63,7 @@
 
   /**
    * <pre>
-   * Zero where no transaction was started.
+   * Zero if no transaction was started.
    * </pre>
    *
    * <code>int64 transaction = 5;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkFailure.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkFailure.java
@@ -175,7 +175,7 @@
   private volatile java.lang.Object member_ = "";
   /**
    * <pre>
-   * Empty where the failure arose at the serving node itself.
+   * Empty if the failure occurred at the serving node itself.
    * </pre>
    *
    * <code>string member = 4;</code>
@@ -196,7 +196,7 @@
   }
   /**
    * <pre>
-   * Empty where the failure arose at the serving node itself.
+   * Empty if the failure occurred at the serving node itself.
    * </pre>
    *
    * <code>string member = 4;</code>
@@ -260,7 +260,7 @@
   private long retryAfterMicros_ = 0L;
   /**
    * <pre>
-   * Zero where coming back later does not help.
+   * Zero if a later retry does not help.
    * </pre>
    *
    * <code>int64 retry_after_micros = 6;</code>
@@ -906,7 +906,7 @@
     private java.lang.Object member_ = "";
     /**
      * <pre>
-     * Empty where the failure arose at the serving node itself.
+     * Empty if the failure occurred at the serving node itself.
      * </pre>
      *
      * <code>string member = 4;</code>
@@ -926,7 +926,7 @@
     }
     /**
      * <pre>
-     * Empty where the failure arose at the serving node itself.
+     * Empty if the failure occurred at the serving node itself.
      * </pre>
      *
      * <code>string member = 4;</code>
@@ -947,7 +947,7 @@
     }
     /**
      * <pre>
-     * Empty where the failure arose at the serving node itself.
+     * Empty if the failure occurred at the serving node itself.
      * </pre>
      *
      * <code>string member = 4;</code>
@@ -964,7 +964,7 @@
     }
     /**
      * <pre>
-     * Empty where the failure arose at the serving node itself.
+     * Empty if the failure occurred at the serving node itself.
      * </pre>
      *
      * <code>string member = 4;</code>
@@ -978,7 +978,7 @@
     }
     /**
      * <pre>
-     * Empty where the failure arose at the serving node itself.
+     * Empty if the failure occurred at the serving node itself.
      * </pre>
      *
      * <code>string member = 4;</code>
@@ -1070,7 +1070,7 @@
     private long retryAfterMicros_ ;
     /**
      * <pre>
-     * Zero where coming back later does not help.
+     * Zero if a later retry does not help.
      * </pre>
      *
      * <code>int64 retry_after_micros = 6;</code>
@@ -1082,7 +1082,7 @@
     }
     /**
      * <pre>
-     * Zero where coming back later does not help.
+     * Zero if a later retry does not help.
      * </pre>
      *
      * <code>int64 retry_after_micros = 6;</code>
@@ -1098,7 +1098,7 @@
     }
     /**
      * <pre>
-     * Zero where coming back later does not help.
+     * Zero if a later retry does not help.
      * </pre>
      *
      * <code>int64 retry_after_micros = 6;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkFailureOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkFailureOrBuilder.java
@@ -48,7 +48,7 @@
 
   /**
    * <pre>
-   * Empty where the failure arose at the serving node itself.
+   * Empty if the failure occurred at the serving node itself.
    * </pre>
    *
    * <code>string member = 4;</code>
@@ -57,7 +57,7 @@
   java.lang.String getMember();
   /**
    * <pre>
-   * Empty where the failure arose at the serving node itself.
+   * Empty if the failure occurred at the serving node itself.
    * </pre>
    *
    * <code>string member = 4;</code>
@@ -80,7 +80,7 @@
 
   /**
    * <pre>
-   * Zero where coming back later does not help.
+   * Zero if a later retry does not help.
    * </pre>
    *
    * <code>int64 retry_after_micros = 6;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkRequest.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkRequest.java
@@ -318,7 +318,7 @@
   private long maximumAgeMicros_ = 0L;
   /**
    * <pre>
-   * Absent where the read has no maximum age.
+   * Absent if the read has no maximum age.
    * </pre>
    *
    * <code>optional int64 maximum_age_micros = 7;</code>
@@ -330,7 +330,7 @@
   }
   /**
    * <pre>
-   * Absent where the read has no maximum age.
+   * Absent if the read has no maximum age.
    * </pre>
    *
    * <code>optional int64 maximum_age_micros = 7;</code>
@@ -345,7 +345,7 @@
   private boolean standing_ = false;
   /**
    * <pre>
-   * Whether the answer must come from a primary in whose term a majority stood after the request had arrived.
+   * Whether the answer must come from a primary whose term a majority confirmed after the request had arrived.
    * </pre>
    *
    * <code>bool standing = 8;</code>
@@ -414,7 +414,7 @@
   private long catchUpMicros_ = 0L;
   /**
    * <pre>
-   * Longest time to wait for the member to reach the required point or age.
+   * Maximum time to wait for the member to reach the required point or age.
    * </pre>
    *
    * <code>int64 catch_up_micros = 11;</code>
@@ -2016,7 +2016,7 @@
     private long maximumAgeMicros_ ;
     /**
      * <pre>
-     * Absent where the read has no maximum age.
+     * Absent if the read has no maximum age.
      * </pre>
      *
      * <code>optional int64 maximum_age_micros = 7;</code>
@@ -2028,7 +2028,7 @@
     }
     /**
      * <pre>
-     * Absent where the read has no maximum age.
+     * Absent if the read has no maximum age.
      * </pre>
      *
      * <code>optional int64 maximum_age_micros = 7;</code>
@@ -2040,7 +2040,7 @@
     }
     /**
      * <pre>
-     * Absent where the read has no maximum age.
+     * Absent if the read has no maximum age.
      * </pre>
      *
      * <code>optional int64 maximum_age_micros = 7;</code>
@@ -2056,7 +2056,7 @@
     }
     /**
      * <pre>
-     * Absent where the read has no maximum age.
+     * Absent if the read has no maximum age.
      * </pre>
      *
      * <code>optional int64 maximum_age_micros = 7;</code>
@@ -2072,7 +2072,7 @@
     private boolean standing_ ;
     /**
      * <pre>
-     * Whether the answer must come from a primary in whose term a majority stood after the request had arrived.
+     * Whether the answer must come from a primary whose term a majority confirmed after the request had arrived.
      * </pre>
      *
      * <code>bool standing = 8;</code>
@@ -2084,7 +2084,7 @@
     }
     /**
      * <pre>
-     * Whether the answer must come from a primary in whose term a majority stood after the request had arrived.
+     * Whether the answer must come from a primary whose term a majority confirmed after the request had arrived.
      * </pre>
      *
      * <code>bool standing = 8;</code>
@@ -2100,7 +2100,7 @@
     }
     /**
      * <pre>
-     * Whether the answer must come from a primary in whose term a majority stood after the request had arrived.
+     * Whether the answer must come from a primary whose term a majority confirmed after the request had arrived.
      * </pre>
      *
      * <code>bool standing = 8;</code>
@@ -2232,7 +2232,7 @@
     private long catchUpMicros_ ;
     /**
      * <pre>
-     * Longest time to wait for the member to reach the required point or age.
+     * Maximum time to wait for the member to reach the required point or age.
      * </pre>
      *
      * <code>int64 catch_up_micros = 11;</code>
@@ -2244,7 +2244,7 @@
     }
     /**
      * <pre>
-     * Longest time to wait for the member to reach the required point or age.
+     * Maximum time to wait for the member to reach the required point or age.
      * </pre>
      *
      * <code>int64 catch_up_micros = 11;</code>
@@ -2260,7 +2260,7 @@
     }
     /**
      * <pre>
-     * Longest time to wait for the member to reach the required point or age.
+     * Maximum time to wait for the member to reach the required point or age.
      * </pre>
      *
      * <code>int64 catch_up_micros = 11;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkRequestOrBuilder.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/node/WorkRequestOrBuilder.java
@@ -90,7 +90,7 @@
 
   /**
    * <pre>
-   * Absent where the read has no maximum age.
+   * Absent if the read has no maximum age.
    * </pre>
    *
    * <code>optional int64 maximum_age_micros = 7;</code>
@@ -99,7 +99,7 @@
   boolean hasMaximumAgeMicros();
   /**
    * <pre>
-   * Absent where the read has no maximum age.
+   * Absent if the read has no maximum age.
    * </pre>
    *
    * <code>optional int64 maximum_age_micros = 7;</code>
@@ -109,7 +109,7 @@
 
   /**
    * <pre>
-   * Whether the answer must come from a primary in whose term a majority stood after the request had arrived.
+   * Whether the answer must come from a primary whose term a majority confirmed after the request had arrived.
    * </pre>
    *
    * <code>bool standing = 8;</code>
@@ -141,7 +141,7 @@
 
   /**
    * <pre>
-   * Longest time to wait for the member to reach the required point or age.
+   * Maximum time to wait for the member to reach the required point or age.
    * </pre>
    *
    * <code>int64 catch_up_micros = 11;</code>
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/sql/Value.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/sql/Value.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A parameter or a cell of a result. SQL null where no field is set.
+ * A parameter or a cell of a result. SQL null if no field is set.
  * </pre>
  *
  * Protobuf type {@code dev.kumquatknot.sql.Value}
@@ -439,7 +439,7 @@
   }
   /**
    * <pre>
-   * A parameter or a cell of a result. SQL null where no field is set.
+   * A parameter or a cell of a result. SQL null if no field is set.
    * </pre>
    *
    * Protobuf type {@code dev.kumquatknot.sql.Value}
--- a/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/standin/DatabaseMemberGrpc.java
+++ b/kumquatknot-protocol/src/main/java/dev/kumquatknot/protocol/standin/DatabaseMemberGrpc.java
@@ -263,7 +263,7 @@
 
     /**
      * <pre>
-     * One stream is one database connection. The first message of the client opens it.
+     * Each stream is one database connection. The first message of the client opens it.
      * </pre>
      */
     default io.grpc.stub.StreamObserver<dev.kumquatknot.protocol.standin.ClientMessage> connect(
@@ -339,7 +339,7 @@
 
     /**
      * <pre>
-     * One stream is one database connection. The first message of the client opens it.
+     * Each stream is one database connection. The first message of the client opens it.
      * </pre>
      */
     public io.grpc.stub.StreamObserver<dev.kumquatknot.protocol.standin.ClientMessage> connect(
@@ -410,7 +410,7 @@
 
     /**
      * <pre>
-     * One stream is one database connection. The first message of the client opens it.
+     * Each stream is one database connection. The first message of the client opens it.
      * </pre>
      */
     @io.grpc.ExperimentalApi("https://github.com/grpc/grpc-java/issues/10918")
