--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -65,7 +65,7 @@
  * One node of the proxy without its servers: it serves callers' requests by [handle] and other nodes by [peerService].
  * It keeps its view of the fleet, the configuration in force, the members that it serves, and their groups' primaries.
  */
-public class ProxyNode(private val identity: NodeIdentity, private val parts: NodeParts) {
+public class ProxyNode(private val identity: NodeIdentity, private val parts: NodeDependencies) {
     private val clock = parts.clock
     private val memberPorts = ConcurrentHashMap<MemberConfiguration, MemberPort>()
     private val threads = NodeThreads(identity.vm.value, parts.workers)
