--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/LocalFleet.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/LocalFleet.kt
@@ -29,8 +29,8 @@
 import dev.kumquatknot.core.time.SystemClock
 import dev.kumquatknot.proxy.event.EventLog
 import dev.kumquatknot.proxy.metric.NodeMetrics
-import dev.kumquatknot.proxy.node.NodeIdentity
 import dev.kumquatknot.proxy.node.NodeDependencies
+import dev.kumquatknot.proxy.node.NodeIdentity
 import dev.kumquatknot.proxy.node.ProxyNode
 import dev.kumquatknot.standin.database.DatabaseGroup
 import dev.kumquatknot.standin.database.DatabaseStandinSettings
