--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailureDetector.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailureDetector.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 
 /** When [vm] last heard a member answer: so long ago, or never. */
-public data class VantageReport(val vm: VmName, val heardAgo: Duration?)
+public data class MemberContactReport(val vm: VmName, val lastResponseAge: Duration?)
 
 /** Why a group needs a new primary. */
 public enum class LossReason {
@@ -75,7 +75,7 @@
     }
 
     /** Records what other VMs said about [primary] at [now]. */
-    public fun observeVantage(primary: MemberName, reports: List<VantageReport>, now: Duration) {
+    public fun observeVantage(primary: MemberName, reports: List<MemberContactReport>, now: Duration) {
         vantage = Vantage(primary, reports, now)
     }
 
@@ -87,7 +87,8 @@
     }
 
     /** Returns how long ago [member] last answered. */
-    public fun heardAgo(member: MemberName, now: Duration): Duration? = contacts[member]?.answeredAt?.let { now - it }
+    public fun lastResponseAge(member: MemberName, now: Duration): Duration? =
+        contacts[member]?.answeredAt?.let { now - it }
 
     /** Returns the last report of [member] where it still counts at [now]. */
     public fun presentReport(member: MemberName, now: Duration): MemberReport? {
@@ -155,7 +156,7 @@
             vantage?.takeIf { it.primary == primary && now - it.askedAt <= timing.reportValidity } ?: return false
         val silence = silenceOf(primary, now)
         val heardUntil = now - silence + timing.probeTimeout
-        val heard = asked.reports.any { it.heardAgo != null && asked.askedAt - it.heardAgo > heardUntil }
+        val heard = asked.reports.any { it.lastResponseAge != null && asked.askedAt - it.lastResponseAge > heardUntil }
         val factor = if (asked.reports.isEmpty()) UNSUPPORTED_FACTOR else 1
         val needed = minOf(missesNeeded() * factor, timing.maximumMisses)
         return !heard && missesOf(primary) >= needed && silence >= timing.probeTimeout * needed
@@ -238,7 +239,7 @@
         }
     }
 
-    private data class Vantage(val primary: MemberName, val reports: List<VantageReport>, val askedAt: Duration)
+    private data class Vantage(val primary: MemberName, val reports: List<MemberContactReport>, val askedAt: Duration)
 
     private companion object {
         const val LOSS_RATE_WEIGHT = 0.1
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
@@ -37,8 +37,8 @@
     private val timing: GroupTiming,
     private val rank: CoordinatorRank,
     private val random: UniformRandomProvider,
-    private val confirmations: ConfirmationLedger,
-    private val freshness: FreshnessLedger,
+    private val confirmations: ConfirmationTracker,
+    private val freshness: FreshnessTracker,
     private val preference: List<MemberName> = database.members.map { it.name },
     private val choose: ChooseMember = ::mostComplete,
     private val writesWait: () -> Boolean = confirmations::hasWaiting,
@@ -67,7 +67,7 @@
     public val primaryVerdict: PrimaryVerdict get() = verdict
 
     /** Returns how long ago [member] last answered. */
-    public fun heardAgo(member: MemberName, now: Duration): Duration? = detector.heardAgo(member, now)
+    public fun lastResponseAge(member: MemberName, now: Duration): Duration? = detector.lastResponseAge(member, now)
 
     /** Records [event], which was observed at [now], and returns what is to be done. */
     public fun on(event: GroupEvent, now: Duration): List<GroupEffect> {
@@ -98,7 +98,7 @@
 
     private fun record(event: GroupEvent, now: Duration): List<GroupEffect> = when (event) {
         is GroupEvent.ReportAnswered -> recordReport(event)
-        is GroupEvent.VantageAnswered -> recordVantage(event, now)
+        is GroupEvent.ContactReportsReceived -> recordVantage(event, now)
         is GroupEvent.AcceptAnswered -> {
             event.answer.onRight { learn(it, event.sentAt) }
             val answer = PromotionEvent.AcceptAnswered(event.member, event.answer)
@@ -110,7 +110,7 @@
             promote(event.proposal, answer, now)
         }
         is GroupEvent.FollowAnswered -> recordFollow(event)
-        is GroupEvent.ViewHeard -> recordView(event.view)
+        is GroupEvent.PeerViewReceived -> recordView(event.view)
         GroupEvent.Tick -> emptyList()
     }
 
@@ -124,7 +124,7 @@
         return emptyList()
     }
 
-    private fun recordVantage(event: GroupEvent.VantageAnswered, now: Duration): List<GroupEffect> {
+    private fun recordVantage(event: GroupEvent.ContactReportsReceived, now: Duration): List<GroupEffect> {
         vantage = vantage.copy(outstanding = false)
         detector.observeVantage(event.primary, event.reports, now)
         return emptyList()
@@ -168,7 +168,7 @@
         val wanted = (verdict as? PrimaryVerdict.Suspected)?.askVantage ?: false
         if (!wanted || !vantage.isDue(now, timing.probeInterval)) return emptyList()
         vantage = CallState(outstanding = true, sentAt = now)
-        return listOf(GroupEffect.AskVantage(primary))
+        return listOf(GroupEffect.RequestContactReports(primary))
     }
 
     private fun startWhenDue(lost: PrimaryVerdict.Lost, now: Duration): List<GroupEffect> {
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
@@ -22,7 +22,8 @@
     ) : GroupEvent
 
     /** Other VMs have said when they last heard [primary]. */
-    public data class VantageAnswered(val primary: MemberName, val reports: List<VantageReport>) : GroupEvent
+    public data class ContactReportsReceived(val primary: MemberName, val reports: List<MemberContactReport>) :
+        GroupEvent
 
     /** A call that asked [member] to accept [proposal] ended. */
     public data class AcceptAnswered(
@@ -45,7 +46,7 @@
         GroupEvent
 
     /** Another VM has formed [view]. */
-    public data class ViewHeard(val view: GroupView) : GroupEvent
+    public data class PeerViewReceived(val view: GroupView) : GroupEvent
 
     /** Time has passed, or a read or write has begun to wait. */
     public data object Tick : GroupEvent
@@ -57,7 +58,7 @@
     public data class Probe(val member: MemberName) : GroupEffect
 
     /** Asks other VMs when they last heard [primary]. */
-    public data class AskVantage(val primary: MemberName) : GroupEffect
+    public data class RequestContactReports(val primary: MemberName) : GroupEffect
 
     /** Asks [member] to accept [proposal]. */
     public data class Accept(val proposal: TermProposal, val member: MemberName) : GroupEffect
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
@@ -54,7 +54,7 @@
     /** Returns the longest time for which a member of [database] has not answered this VM. */
     fun lastGap(database: DatabaseName): Duration {
         val group = lock.withLock { groups[database] } ?: return Duration.ZERO
-        return group.memberNames.mapNotNull { group.runner.vantage(it).heardAgo }.maxOrNull() ?: Duration.ZERO
+        return group.memberNames.mapNotNull { group.runner.vantage(it).lastResponseAge }.maxOrNull() ?: Duration.ZERO
     }
 
     /** Ends the work under way at members of [database] that were taken for its primary and are not [primary]. */
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -9,7 +9,7 @@
 import dev.kumquatknot.core.configuration.MemberConfiguration
 import dev.kumquatknot.core.databasegroup.GroupTiming
 import dev.kumquatknot.core.databasegroup.GroupView
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -280,14 +280,14 @@
         }
     }
 
-    private fun askVantage(database: DatabaseName, member: MemberName): List<VantageReport> {
+    private fun askVantage(database: DatabaseName, member: MemberName): List<MemberContactReport> {
         val configured = holder.current.database(database) ?: return emptyList()
         val gateways = configured.members.mapNotNull { ownership.gateway(it) }
         val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(OTHER_VANTAGES)
         val asked = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
         return asked.mapNotNull { peer ->
             parts.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
-                .fold({ null }, { VantageReport(peer.name, it.heardAgo) })
+                .fold({ null }, { MemberContactReport(peer.name, it.heardAgo) })
         }
     }
 
@@ -330,7 +330,7 @@
             PeerConfiguration(holder.current.takeIf { it.number > known }, parts.sessionKeys)
 
         override fun vantage(database: DatabaseName, member: MemberName): Vantage {
-            val heard = hosts.runner(database)?.vantage(member)?.heardAgo
+            val heard = hosts.runner(database)?.vantage(member)?.lastResponseAge
             if (heard != null) return Vantage(heard, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
