--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationTracker.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationTracker.kt
@@ -10,27 +10,27 @@
 import kotlin.concurrent.withLock
 import kotlin.time.Duration
 
-/** What is known about the confirmation of a committed write. */
+/** Result of waiting for the confirmation of a committed write. */
 public enum class Confirmation {
-    /** A majority holds the write in the term in which it was committed; every later primary has it. */
+    /** A majority holds the write in the term in which it was committed, so every later primary has it. */
     CONFIRMED,
 
-    /** A majority left the term before the confirmation was seen; the outcome is unknown. */
+    /** A majority accepted a later term before the confirmation was observed; the outcome is unknown. */
     SUPERSEDED,
 
-    /** The deadline passed first; the outcome is unknown. */
-    DEADLINE,
+    /** The deadline passed before the confirmation was observed; the outcome is unknown. */
+    DEADLINE_PASSED,
 }
 
 /** Returns the point up to which a member confirms writes, or null where it confirms none. */
 public typealias ConfirmedPoint = (lastEntry: HistoryPoint, acceptedTerm: Term) -> HistoryPoint?
 
 /**
- * Table of the positions that members have confirmed, one to a group. A write at (T, P) is confirmed when enough
+ * Tracks the log positions that the members of one group have confirmed. A write at (T, P) is confirmed when enough
  * members besides its primary have reported that they hold position P or more of term T and have accepted no later
  * term; with the primary they form a [majority].
  *
- * Thread-safe. Lock order: the table's own lock is the last one taken; nothing is called while it is held.
+ * Thread-safe. Lock order: the lock of this class is the last one acquired; nothing is called while it is held.
  *
  * @param onWaiting called when the first write begins to wait.
  */
@@ -53,7 +53,7 @@
         if (waiting > 0) changed.signalAll()
     }
 
-    /** Returns what is known about the write that [primary] committed at [point], or null where it is still open. */
+    /** Returns the result for the write that [primary] committed at [point], or null while it is undecided. */
     public fun confirmation(point: HistoryPoint, primary: MemberName): Confirmation? =
         lock.withLock { decide(point, primary) }
 
@@ -68,15 +68,15 @@
         }
     }
 
-    /** Whether any write waits. */
+    /** Whether any write waits in [await]. */
     public fun hasWaiting(): Boolean = lock.withLock { waiting > 0 }
 
     private fun awaitDecision(point: HistoryPoint, primary: MemberName, deadline: Duration): Confirmation {
         while (true) {
             decide(point, primary)?.let { return it }
-            val left = deadline - clock.elapsed()
-            if (!left.isPositive()) return Confirmation.DEADLINE
-            changed.await(left.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+            val remaining = deadline - clock.elapsed()
+            if (!remaining.isPositive()) return Confirmation.DEADLINE_PASSED
+            changed.await(remaining.inWholeNanoseconds, TimeUnit.NANOSECONDS)
         }
     }
 
@@ -85,20 +85,20 @@
             member != primary && (positions[point.term] ?: NO_POSITION) >= point.position
         }
         if (holders >= majority - 1) return Confirmation.CONFIRMED
-        val departed = accepted.count { (_, term) -> term > point.term }
-        return if (departed >= majority) Confirmation.SUPERSEDED else null
+        val membersInLaterTerm = accepted.count { (_, term) -> term > point.term }
+        return if (membersInLaterTerm >= majority) Confirmation.SUPERSEDED else null
     }
 
     private fun record(member: MemberName, point: HistoryPoint) {
-        val known = confirmed[member].orEmpty()
-        val position = maxOf(point.position, known[point.term] ?: NO_POSITION)
-        val advanced = known + (point.term to position)
-        val kept = advanced.keys.sortedDescending().take(TERMS_KEPT).toSet()
-        confirmed = confirmed + (member to advanced.filterKeys { it in kept })
+        val previous = confirmed[member].orEmpty()
+        val position = maxOf(point.position, previous[point.term] ?: NO_POSITION)
+        val advanced = previous + (point.term to position)
+        val retainedTerms = advanced.keys.sortedDescending().take(MAXIMUM_TERMS).toSet()
+        confirmed = confirmed + (member to advanced.filterKeys { it in retainedTerms })
     }
 
     private companion object {
-        const val TERMS_KEPT = 4
+        const val MAXIMUM_TERMS = 4
         val NO_POSITION = LogPosition(-1)
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofs.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofs.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Points that the primary of one group was proved to be at, each with the time before which the question was sent. A
+ * Log points that the proved primary of one group has reported, each with the time at which the request was sent. A
  * replica that has reached a point holds every write that was acknowledged before that time.
  *
  * Confined to one thread.
@@ -14,49 +14,50 @@
 public class FreshnessProofs {
     private val proofs = ArrayDeque<Proof>()
 
-    /** The highest point proved; null where none is. */
+    /** The newest proved point; null where there is none. */
     public val latest: HistoryPoint? get() = proofs.lastOrNull()?.point
 
-    /** Time at which the newest proof was asked for. */
-    public val latestProofRequestedAt: Duration? get() = proofs.lastOrNull()?.askedAt
+    /** Time at which the request that led to the newest proof was sent. */
+    public val latestProofRequestedAt: Duration? get() = proofs.lastOrNull()?.sentAt
 
-    /** Notes that a proved primary was at [point] when it answered a question sent at [askedAt]. */
-    public fun record(point: HistoryPoint, askedAt: Duration) {
+    /** Records that the proved primary was at [point] when it answered a request sent at [sentAt]. */
+    public fun record(point: HistoryPoint, sentAt: Duration) {
         val last = proofs.lastOrNull()
-        if (last != null && (askedAt < last.askedAt || point < last.point)) return
+        if (last != null && (sentAt < last.sentAt || point < last.point)) return
         val beforeLast = if (proofs.size > 1) proofs[proofs.size - 2] else null
-        if (beforeLast != null && askedAt - beforeLast.askedAt < SPACING) proofs.removeLast()
-        proofs.addLast(Proof(point, askedAt))
-        while (proofs.size > 1 && askedAt - proofs.first().askedAt > KEPT) proofs.removeFirst()
+        if (beforeLast != null && sentAt - beforeLast.sentAt < MINIMUM_SPACING) proofs.removeLast()
+        proofs.addLast(Proof(point, sentAt))
+        while (proofs.size > 1 && sentAt - proofs.first().sentAt > RETENTION) proofs.removeFirst()
     }
 
     /**
-     * Notes that another member leads, and that it was at [point] when it answered a question sent at [askedAt]. What
-     * the former primary had beyond that was rolled back, and no member will reach it.
+     * Records that another member is now the primary and was at [point] when it answered a request sent at [sentAt].
+     * Entries of the former primary beyond [point] were rolled back and no member will reach them, so earlier proofs
+     * are capped there.
      */
-    public fun recordPrimaryChange(point: HistoryPoint, askedAt: Duration) {
-        val kept = proofs.map { it.copy(point = minOf(it.point, point)) }.filter { it.askedAt < askedAt }
+    public fun recordPrimaryChange(point: HistoryPoint, sentAt: Duration) {
+        val cappedProofs = proofs.map { it.copy(point = minOf(it.point, point)) }.filter { it.sentAt < sentAt }
         proofs.clear()
-        proofs += kept
-        proofs.addLast(Proof(point, askedAt))
+        proofs += cappedProofs
+        proofs.addLast(Proof(point, sentAt))
     }
 
-    /** Returns the lowest point that no data older than [maximumAge] at [now] can be at; null where none is proved. */
+    /** Returns the lowest point that guarantees data no older than [maximumAge] at [now], or null without a proof. */
     public fun required(now: Duration, maximumAge: Duration): HistoryPoint? =
-        proofs.firstOrNull { now - it.askedAt <= maximumAge }?.point
+        proofs.firstOrNull { now - it.sentAt <= maximumAge }?.point
 
-    /** Forgets all proofs, as their ages are no longer known. */
-    public fun forget() {
+    /** Discards all proofs, for when their ages are no longer known. */
+    public fun reset() {
         proofs.clear()
     }
 
-    private data class Proof(val point: HistoryPoint, val askedAt: Duration)
+    private data class Proof(val point: HistoryPoint, val sentAt: Duration)
 
     private companion object {
-        /** Least distance of proofs; finer steps would hardly let more replicas serve. */
-        val SPACING = 40.milliseconds
+        /** Minimum time between proofs; a finer spacing would hardly let more replicas serve. */
+        val MINIMUM_SPACING = 40.milliseconds
 
-        /** Above the staleness that routes allow, and enough to bound the list. */
-        val KEPT = 10.seconds
+        /** Exceeds the staleness that routes allow, and bounds the list. */
+        val RETENTION = 10.seconds
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessTracker.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessTracker.kt
@@ -11,15 +11,16 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A primary that a majority still followed at a given time. */
+/** The [primary] of a [term] that a majority of the group still accepted at a given time. */
 public data class MajorityPrimary(val term: Term, val primary: MemberName)
 
 /**
- * Table of the primary's positions over time, one to a group. A position that the primary reported to a call sent at
- * time t proves an age once a majority has answered calls sent at t or later from the same term: then no later primary
- * existed at t, and a member that has reached the position holds every write acknowledged before t.
+ * Tracks the log positions of one group's primary over time, to bound the age of data read from a member. A position
+ * that the primary reported in answer to a call sent at time t is proven once a majority has answered calls sent at t
+ * or later while in the same term: no later primary existed at t then, so a member that has reached the position holds
+ * every write that was acknowledged before t.
  *
- * Thread-safe. Lock order: the table's own lock is the last one taken; nothing is called while it is held.
+ * Thread-safe. Lock order: the lock of this class is the last one acquired; nothing is called while it is held.
  *
  * @param onWaiting called when the first read begins to wait.
  */
@@ -30,15 +31,15 @@
 ) {
     private val lock = ReentrantLock()
     private val changed = lock.newCondition()
-    private var stands: Map<MemberName, Stand> = emptyMap()
+    private var termContacts: Map<MemberName, TermContact> = emptyMap()
     private var primary: MajorityPrimary? = null
     private var pending: List<Sample> = emptyList()
     private var proven: List<Sample> = emptyList()
     private var waiting = 0
 
-    /** Records the answer to a call sent at [sentAt]. */
+    /** Records the [report] that a member gave in answer to a call sent at [sentAt]. */
     public fun observe(report: MemberReport, sentAt: Duration): Unit = lock.withLock {
-        recordStand(report, sentAt)
+        recordTermContact(report, sentAt)
         if (report.servesAsPrimary) recordPrimary(report, sentAt)
         provePending()
         if (waiting > 0) changed.signalAll()
@@ -46,25 +47,25 @@
 
     /** Records that [member] answered a statement sent at [sentAt] while it had accepted [acceptedTerm]. */
     public fun observeTerm(member: MemberName, acceptedTerm: Term, sentAt: Duration): Unit = lock.withLock {
-        advanceStand(member, acceptedTerm, sentAt)
+        advanceTermContact(member, acceptedTerm, sentAt)
         provePending()
         if (waiting > 0) changed.signalAll()
     }
 
-    /** Returns an age that data at [point] surely does not exceed at the time [now], or null where none is proved. */
+    /** Returns the proven upper bound at [now] of the age of data that has reached [point], or null without a proof. */
     public fun provenAge(point: HistoryPoint, now: Duration): Duration? = lock.withLock {
         proven.lastOrNull { point.covers(it.point) }?.let { now - it.sentAt }
     }
 
-    /** Returns the primary that a majority still followed at the time [since] or later, or null. */
-    public fun standing(since: Duration): MajorityPrimary? = lock.withLock { standingSince(since) }
+    /** Returns the primary whose term a majority still had accepted at the time [since] or later, or null. */
+    public fun majorityPrimary(since: Duration): MajorityPrimary? = lock.withLock { majorityPrimarySince(since) }
 
-    /** Waits until a majority is seen to follow the primary at [since] or later; null at [deadline] of the clock. */
+    /** Waits for the result of [majorityPrimary]; returns null once the clock reaches [deadline]. */
     public fun awaitMajorityPrimary(since: Duration, deadline: Duration): MajorityPrimary? {
-        standing(since)?.let { return it }
+        majorityPrimary(since)?.let { return it }
         if (lock.withLock { waiting++ } == 0) onWaiting()
         try {
-            return lock.withLock { awaitStandingSince(since, deadline) }
+            return lock.withLock { awaitMajorityPrimarySince(since, deadline) }
         } finally {
             lock.withLock { waiting-- }
         }
@@ -73,28 +74,28 @@
     /** Whether any read waits in [awaitMajorityPrimary]. */
     public fun hasWaiting(): Boolean = lock.withLock { waiting > 0 }
 
-    private fun awaitStandingSince(since: Duration, deadline: Duration): MajorityPrimary? {
+    private fun awaitMajorityPrimarySince(since: Duration, deadline: Duration): MajorityPrimary? {
         while (true) {
-            standingSince(since)?.let { return it }
-            val left = deadline - clock.elapsed()
-            if (!left.isPositive()) return null
-            changed.await(left.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+            majorityPrimarySince(since)?.let { return it }
+            val remaining = deadline - clock.elapsed()
+            if (!remaining.isPositive()) return null
+            changed.await(remaining.inWholeNanoseconds, TimeUnit.NANOSECONDS)
         }
     }
 
-    private fun standingSince(since: Duration): MajorityPrimary? =
-        primary?.takeIf { majoritySeenIn(it.term, since) }
+    private fun majorityPrimarySince(since: Duration): MajorityPrimary? =
+        primary?.takeIf { majorityFollows(it.term, since) }
 
-    private fun majoritySeenIn(term: Term, since: Duration): Boolean =
-        stands.values.count { it.term == term && it.sentAt >= since } >= majority
+    private fun majorityFollows(term: Term, since: Duration): Boolean =
+        termContacts.values.count { it.term == term && it.sentAt >= since } >= majority
 
-    private fun recordStand(report: MemberReport, sentAt: Duration) =
-        advanceStand(report.member, report.acceptedTerm, sentAt)
+    private fun recordTermContact(report: MemberReport, sentAt: Duration) =
+        advanceTermContact(report.member, report.acceptedTerm, sentAt)
 
-    private fun advanceStand(member: MemberName, term: Term, sentAt: Duration) {
-        val known = stands[member]
+    private fun advanceTermContact(member: MemberName, term: Term, sentAt: Duration) {
+        val known = termContacts[member]
         val newer = known == null || term > known.term || (term == known.term && sentAt > known.sentAt)
-        if (newer) stands = stands + (member to Stand(term, sentAt))
+        if (newer) termContacts = termContacts + (member to TermContact(term, sentAt))
     }
 
     private fun recordPrimary(report: MemberReport, sentAt: Duration) {
@@ -102,40 +103,40 @@
         if (known == null || report.acceptedTerm > known.term) {
             primary = MajorityPrimary(report.acceptedTerm, report.member)
         }
-        pending = (pending + Sample(report.lastEntry, sentAt)).takeLast(PENDING_KEPT)
+        pending = (pending + Sample(report.lastEntry, sentAt)).takeLast(MAXIMUM_PENDING_SAMPLES)
     }
 
     private fun provePending() {
-        val (provable, open) = pending.partition { majoritySeenIn(it.point.term, it.sentAt) }
-        pending = open
-        provable.forEach(::keep)
+        val (provable, unproven) = pending.partition { majorityFollows(it.point.term, it.sentAt) }
+        pending = unproven
+        provable.forEach(::addProven)
     }
 
-    private fun keep(sample: Sample) {
-        val better = proven.any { sample.point.covers(it.point) && it.sentAt >= sample.sentAt }
-        if (better) return
+    private fun addProven(sample: Sample) {
+        val dominated = proven.any { sample.point.covers(it.point) && it.sentAt >= sample.sentAt }
+        if (dominated) return
         val rest = proven.filterNot { it.point.covers(sample.point) && it.sentAt <= sample.sentAt }
         proven = thinned((rest + sample).sortedBy { it.sentAt })
     }
 
-    /** Drops the sample whose neighbours are closest for their age, so that distances grow in proportion to age. */
+    /** Drops the sample whose neighbours are closest relative to its age, so that gaps grow in proportion to age. */
     private fun thinned(samples: List<Sample>): List<Sample> {
-        if (samples.size <= PROVEN_KEPT) return samples
+        if (samples.size <= MAXIMUM_PROVEN_SAMPLES) return samples
         val newest = samples.last().sentAt
         val dropped = (1 until samples.lastIndex).minBy { index ->
             val gap = samples[index + 1].sentAt - samples[index - 1].sentAt
-            gap / (newest - samples[index].sentAt + FINEST_AGE)
+            gap / (newest - samples[index].sentAt + AGE_RESOLUTION)
         }
         return samples.filterIndexed { index, _ -> index != dropped }
     }
 
-    private data class Stand(val term: Term, val sentAt: Duration)
+    private data class TermContact(val term: Term, val sentAt: Duration)
 
     private data class Sample(val point: HistoryPoint, val sentAt: Duration)
 
     private companion object {
-        const val PROVEN_KEPT = 256
-        const val PENDING_KEPT = 64
-        val FINEST_AGE = 100.milliseconds
+        const val MAXIMUM_PROVEN_SAMPLES = 256
+        const val MAXIMUM_PENDING_SAMPLES = 64
+        val AGE_RESOLUTION = 100.milliseconds
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
@@ -12,24 +12,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Place of this VM among those that may act for a group: 0 acts at once, each later one a little later. It saves
- * races and nothing else; any two VMs may hold the same rank.
+ * Rank of this VM among those that may promote a member of a group: 0 starts at once, each further rank waits one
+ * [GroupTiming.rankDelay] more. Ranks only reduce competing promotions; safety does not depend on them, so two VMs may
+ * have the same rank.
  */
 public typealias CoordinatorRank = () -> Int
 
 /**
- * Decides all that one VM does for one database group: whom to ask for a report and when, whether the primary is
- * lost, which member to promote, and who is to follow it. It has no input or output: [on] takes an event and the
- * time and returns the calls to be made.
+ * State machine of one VM for one database group: when to probe each member, whether the primary is lost, which
+ * member to promote, and which members must follow it. It does no I/O: [on] takes an event and the time and returns
+ * the calls to make.
  *
- * Not thread-safe: the owner guards it with a lock, which it may hold while it takes those of the two ledgers.
+ * Not thread-safe: the owner guards it with a lock. Lock order: that lock comes before those of the two trackers.
  *
- * @param proposer name under which this coordinator proposes terms. It must be unique to this run of this process,
- * because a member accepts a term once more from the proposer that it has accepted it from.
+ * @param proposer name under which this coordinator proposes terms. It must be unique to this run of the process,
+ * because a member accepts a term again from the proposer from which it has accepted it before.
  * @param preference order in which members with equal logs are promoted.
- * @param writesWait whether writes wait for their confirmation, for which replicas are asked more often.
- * @param readsWait whether reads wait for a majority to be seen, for which all members are asked more often.
- * @param leaving members whose backend servers are leaving; a primary among them hands over to another member.
+ * @param hasWaitingWrites whether writes wait for confirmation; replicas are then probed more often.
+ * @param hasWaitingReads whether reads wait for proof that a majority follows the primary; all members are then probed
+ * more often.
+ * @param leaving members whose backend servers are leaving; a primary among them is replaced.
  */
 public class GroupCoordinator(
     private val database: DatabaseConfiguration,
@@ -40,26 +42,26 @@
     private val confirmations: ConfirmationTracker,
     private val freshness: FreshnessTracker,
     private val preference: List<MemberName> = database.members.map { it.name },
-    private val choose: ChooseMember = ::mostComplete,
-    private val writesWait: () -> Boolean = confirmations::hasWaiting,
-    private val readsWait: () -> Boolean = freshness::hasWaiting,
+    private val choose: MemberSelector = ::mostCompleteMember,
+    private val hasWaitingWrites: () -> Boolean = confirmations::hasWaiting,
+    private val hasWaitingReads: () -> Boolean = freshness::hasWaiting,
     private val leaving: () -> Set<MemberName> = ::emptySet,
 ) {
     private val detector = FailureDetector(database, timing)
     private val members = database.members.map { it.name }
     private var probes: Map<MemberName, CallState> = members.associateWith { CallState() }
     private var follows: Map<MemberName, CallState> = members.associateWith { CallState() }
-    private var vantage = CallState()
+    private var contactReportsCall = CallState()
     private var promotion: Promotion? = null
     private var reason = LossReason.NO_PRIMARY
     private var verdict: PrimaryVerdict = PrimaryVerdict.Healthy
     private var lostSince: Duration? = null
-    private var notBefore: Duration = -Duration.INFINITE
+    private var earliestPromotionAt: Duration = -Duration.INFINITE
     private var failures = 0
     private var highestTerm = Term(0)
-    private var awakeAt: Duration? = null
+    private var lastEventAt: Duration? = null
 
-    /** What is known of the group. */
+    /** Term, primary and log positions of the group as this VM knows them. */
     public var view: GroupView = GroupView(database.name)
         private set
 
@@ -69,48 +71,48 @@
     /** Returns how long ago [member] last answered. */
     public fun lastResponseAge(member: MemberName, now: Duration): Duration? = detector.lastResponseAge(member, now)
 
-    /** Records [event], which was observed at [now], and returns what is to be done. */
+    /** Applies [event], which was observed at [now], and returns the calls to make. */
     public fun on(event: GroupEvent, now: Duration): List<GroupEffect> {
         val before = view
-        noticePause(now)
+        detectPause(now)
         val effects = record(event, now) + decide(now) + probesDue(now) + followsDue(now)
         val changed = view.term != before.term || view.primary != before.primary
         return if (changed) effects + GroupEffect.ViewChanged(view) else effects
     }
 
-    /** Returns the time at which [on] wants a [GroupEvent.Tick] at the latest. */
+    /** Returns the time by which [on] must be called again, with [GroupEvent.Tick] if no other event arrives. */
     public fun nextWake(now: Duration): Duration {
         val probe = members.filterNot { probes.getValue(it).outstanding }
             .minOfOrNull { probes.getValue(it).sentAt + probeInterval(it) }
-        val latest = now + LONGEST_SLEEP
-        return (probe ?: latest).coerceIn(now + SHORTEST_SLEEP, latest)
+        val latest = now + MAXIMUM_SLEEP
+        return (probe ?: latest).coerceIn(now + MINIMUM_SLEEP, latest)
     }
 
-    private fun noticePause(now: Duration) {
-        val paused = awakeAt?.let { now - it > timing.pauseBound } ?: false
-        awakeAt = now
+    private fun detectPause(now: Duration) {
+        val paused = lastEventAt?.let { now - it > timing.pauseThreshold } ?: false
+        lastEventAt = now
         if (!paused) return
-        detector.restart()
+        detector.reset()
         promotion = null
         lostSince = null
-        notBefore = now + timing.backoff
+        earliestPromotionAt = now + timing.initialBackoff
     }
 
     private fun record(event: GroupEvent, now: Duration): List<GroupEffect> = when (event) {
         is GroupEvent.ReportAnswered -> recordReport(event)
-        is GroupEvent.ContactReportsReceived -> recordVantage(event, now)
+        is GroupEvent.ContactReportsReceived -> onContactReports(event, now)
         is GroupEvent.AcceptAnswered -> {
-            event.answer.onRight { learn(it, event.sentAt) }
+            event.answer.onRight { applyReport(it, event.sentAt) }
             val answer = PromotionEvent.AcceptAnswered(event.member, event.answer)
-            promote(event.proposal, answer, now)
+            advancePromotion(event.proposal, answer, now)
         }
         is GroupEvent.PromoteAnswered -> {
-            event.answer.onRight { learn(it, event.sentAt) }
+            event.answer.onRight { applyReport(it, event.sentAt) }
             val answer = PromotionEvent.PromoteAnswered(event.member, event.answer)
-            promote(event.proposal, answer, now)
+            advancePromotion(event.proposal, answer, now)
         }
         is GroupEvent.FollowAnswered -> recordFollow(event)
-        is GroupEvent.PeerViewReceived -> recordView(event.view)
+        is GroupEvent.PeerViewReceived -> mergePeerView(event.view)
         GroupEvent.Tick -> emptyList()
     }
 
@@ -118,36 +120,36 @@
         probes = probes + (event.member to probes.getValue(event.member).copy(outstanding = false))
         detector.observe(event.member, event.sentAt, event.endedAt, event.answer)
         event.answer.onRight {
-            noticeRise(it, event.endedAt)
-            learn(it, event.sentAt)
+            deferToRivalPromotion(it, event.endedAt)
+            applyReport(it, event.sentAt)
         }
         return emptyList()
     }
 
-    private fun recordVantage(event: GroupEvent.ContactReportsReceived, now: Duration): List<GroupEffect> {
-        vantage = vantage.copy(outstanding = false)
-        detector.observeVantage(event.primary, event.reports, now)
+    private fun onContactReports(event: GroupEvent.ContactReportsReceived, now: Duration): List<GroupEffect> {
+        contactReportsCall = contactReportsCall.copy(outstanding = false)
+        detector.recordContactReports(event.primary, event.reports, now)
         return emptyList()
     }
 
     private fun recordFollow(event: GroupEvent.FollowAnswered): List<GroupEffect> {
         follows = follows + (event.member to follows.getValue(event.member).copy(outstanding = false))
-        event.answer.onRight { learn(it, event.sentAt) }
+        event.answer.onRight { applyReport(it, event.sentAt) }
         return emptyList()
     }
 
-    private fun recordView(heard: GroupView): List<GroupEffect> {
-        view = view.merge(heard)
+    private fun mergePeerView(peerView: GroupView): List<GroupEffect> {
+        view = view.merge(peerView)
         highestTerm = maxOf(highestTerm, view.term)
         return emptyList()
     }
 
-    private fun noticeRise(report: MemberReport, now: Duration) {
-        val rivalIsAtWork = report.acceptedTerm > highestTerm && !report.servesAsPrimary && promotion == null
-        if (rivalIsAtWork) notBefore = maxOf(notBefore, now + timing.leaderlessGrace)
+    private fun deferToRivalPromotion(report: MemberReport, now: Duration) {
+        val rivalIsPromoting = report.acceptedTerm > highestTerm && !report.servesAsPrimary && promotion == null
+        if (rivalIsPromoting) earliestPromotionAt = maxOf(earliestPromotionAt, now + timing.noPrimaryGrace)
     }
 
-    private fun learn(report: MemberReport, sentAt: Duration) {
+    private fun applyReport(report: MemberReport, sentAt: Duration) {
         highestTerm = maxOf(highestTerm, report.acceptedTerm)
         view = view.after(report)
         confirmations.observe(report.member, report.lastEntry, report.acceptedTerm)
@@ -159,21 +161,21 @@
         val lost = verdict as? PrimaryVerdict.Lost
         lostSince = if (lost == null) null else lostSince ?: now
         val running = promotion
-        if (running != null) return promote(running.plan.proposal, PromotionEvent.TimePassed, now)
-        return if (lost != null) startWhenDue(lost, now) else vantageDue(now)
+        if (running != null) return advancePromotion(running.plan.proposal, PromotionEvent.Tick, now)
+        return if (lost != null) startPromotionWhenDue(lost, now) else contactReportsDue(now)
     }
 
-    private fun vantageDue(now: Duration): List<GroupEffect> {
+    private fun contactReportsDue(now: Duration): List<GroupEffect> {
         val primary = view.primary ?: return emptyList()
-        val wanted = (verdict as? PrimaryVerdict.Suspected)?.askVantage ?: false
-        if (!wanted || !vantage.isDue(now, timing.probeInterval)) return emptyList()
-        vantage = CallState(outstanding = true, sentAt = now)
+        val isRequested = (verdict as? PrimaryVerdict.Suspected)?.requestContactReports ?: false
+        if (!isRequested || !contactReportsCall.isDue(now, timing.probeInterval)) return emptyList()
+        contactReportsCall = CallState(outstanding = true, sentAt = now)
         return listOf(GroupEffect.RequestContactReports(primary))
     }
 
-    private fun startWhenDue(lost: PrimaryVerdict.Lost, now: Duration): List<GroupEffect> {
-        val turn = (lostSince ?: now) + timing.rankDelay * rank()
-        if (now < turn || now < notBefore) return emptyList()
+    private fun startPromotionWhenDue(lost: PrimaryVerdict.Lost, now: Duration): List<GroupEffect> {
+        val startAt = (lostSince ?: now) + timing.rankDelay * rank()
+        if (now < startAt || now < earliestPromotionAt) return emptyList()
         highestTerm = highestTerm.next()
         reason = lost.reason
         val preferred = (listOfNotNull(view.primary) + preference).distinct()
@@ -182,19 +184,19 @@
         return apply(Promotion.start(plan, now, timing, choose), now)
     }
 
-    private fun promote(proposal: TermProposal, event: PromotionEvent, now: Duration): List<GroupEffect> {
+    private fun advancePromotion(proposal: TermProposal, event: PromotionEvent, now: Duration): List<GroupEffect> {
         val running = promotion?.takeIf { it.plan.proposal == proposal } ?: return emptyList()
         return apply(running.on(event, now), now)
     }
 
     private fun apply(step: PromotionStep, now: Duration): List<GroupEffect> {
         val proposal = step.promotion.plan.proposal
-        promotion = step.promotion.takeUnless { it.isOver }
-        val calls = step.effects.map { it.asGroupEffect(proposal) }
+        promotion = step.promotion.takeUnless { it.isFinished }
+        val calls = step.effects.map { it.toGroupEffect(proposal) }
         return when (val state = step.promotion.state) {
             is PromotionState.Won -> calls + won(state)
-            is PromotionState.Lost -> calls.also { lostRace(state.highest, now) }
-            is PromotionState.Abandoned -> calls.also { lostRace(highestTerm, now) }
+            is PromotionState.Lost -> calls.also { scheduleRetry(state.highest, now) }
+            is PromotionState.Abandoned -> calls.also { scheduleRetry(highestTerm, now) }
             else -> calls
         }
     }
@@ -207,10 +209,10 @@
         return followAll(members - state.primary.member) + GroupEffect.PublishPromotion(view, reason)
     }
 
-    private fun lostRace(highest: Term, now: Duration) {
+    private fun scheduleRetry(highest: Term, now: Duration) {
         highestTerm = maxOf(highestTerm, highest)
-        val longest = minOf(timing.backoff * (1 shl minOf(failures, MAXIMUM_DOUBLINGS)), timing.maximumBackoff)
-        notBefore = now + longest * (HALF + random.nextDouble())
+        val backoff = minOf(timing.initialBackoff * (1 shl minOf(failures, MAXIMUM_DOUBLINGS)), timing.maximumBackoff)
+        earliestPromotionAt = now + backoff * (MINIMUM_JITTER_FACTOR + random.nextDouble())
         failures++
     }
 
@@ -223,7 +225,7 @@
     private fun probeInterval(member: MemberName): Duration {
         val isReplica = member != view.primary
         return when {
-            readsWait() || (isReplica && writesWait()) -> timing.confirmationInterval
+            hasWaitingReads() || (isReplica && hasWaitingWrites()) -> timing.confirmationInterval
             verdict != PrimaryVerdict.Healthy -> timing.suspectedProbeInterval
             else -> timing.probeInterval
         }
@@ -235,14 +237,14 @@
     }
 
     private fun needsFollow(member: MemberName, now: Duration): Boolean {
-        val report = detector.presentReport(member, now) ?: return false
+        val report = detector.recentReport(member, now) ?: return false
         if (member == view.primary || report.acceptedTerm > view.term || view.primary == null) return false
-        val strays = report.acceptedTerm < view.term || report.role == MemberRole.PRIMARY
-        val deaf = report.primaryContactAge == null || report.primaryContactAge >= timing.replicaSilence
-        return strays || (deaf && verdict == PrimaryVerdict.Healthy)
+        val needsRedirect = report.acceptedTerm < view.term || report.role == MemberRole.PRIMARY
+        val disconnected = report.primaryContactAge == null || report.primaryContactAge >= timing.replicaSilence
+        return needsRedirect || (disconnected && verdict == PrimaryVerdict.Healthy)
     }
 
-    private fun followAll(due: List<MemberName>, now: Duration = awakeAt ?: Duration.ZERO): List<GroupEffect> {
+    private fun followAll(due: List<MemberName>, now: Duration = lastEventAt ?: Duration.ZERO): List<GroupEffect> {
         val primary = view.primary ?: return emptyList()
         follows = follows + due.associateWith { CallState(outstanding = true, sentAt = now) }
         return due.map { GroupEffect.Follow(view.term, primary, it) }
@@ -254,13 +256,13 @@
 
     private companion object {
         const val MAXIMUM_DOUBLINGS = 6
-        const val HALF = 0.5
-        val LONGEST_SLEEP = 100.milliseconds
-        val SHORTEST_SLEEP = 1.milliseconds
+        const val MINIMUM_JITTER_FACTOR = 0.5
+        val MAXIMUM_SLEEP = 100.milliseconds
+        val MINIMUM_SLEEP = 1.milliseconds
     }
 }
 
-private fun PromotionEffect.asGroupEffect(proposal: TermProposal): GroupEffect = when (this) {
+private fun PromotionEffect.toGroupEffect(proposal: TermProposal): GroupEffect = when (this) {
     is PromotionEffect.Accept -> GroupEffect.Accept(proposal, member)
     is PromotionEffect.Promote -> GroupEffect.Promote(proposal, member)
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
@@ -8,10 +8,10 @@
 import dev.kumquatknot.core.member.TermProposal
 import kotlin.time.Duration
 
-/** Answer of a member to a call of its runner, or its failure. */
+/** Report with which a member answered a call, or the failure of the call. */
 public typealias MemberAnswer = Either<MemberFailure, MemberReport>
 
-/** What a [GroupCoordinator] hears. Times are those of the VM's monotonic clock. */
+/** Input of a [GroupCoordinator]. Times are those of the VM's monotonic clock. */
 public sealed interface GroupEvent {
     /** A report call that was sent at [sentAt] ended at [endedAt]. */
     public data class ReportAnswered(
@@ -21,7 +21,7 @@
         val answer: MemberAnswer,
     ) : GroupEvent
 
-    /** Other VMs have said when they last heard [primary]. */
+    /** Other VMs have reported when [primary] last answered them. */
     public data class ContactReportsReceived(val primary: MemberName, val reports: List<MemberContactReport>) :
         GroupEvent
 
@@ -45,19 +45,19 @@
     public data class FollowAnswered(val member: MemberName, val sentAt: Duration, val answer: MemberAnswer) :
         GroupEvent
 
-    /** Another VM has formed [view]. */
+    /** Another VM has sent its [view] of the group. */
     public data class PeerViewReceived(val view: GroupView) : GroupEvent
 
     /** Time has passed, or a read or write has begun to wait. */
     public data object Tick : GroupEvent
 }
 
-/** What a [GroupCoordinator] asks its runner to do. Every call is answered by one event. */
+/** Action that a [GroupCoordinator] asks its runner to perform. The result of every call comes back as one event. */
 public sealed interface GroupEffect {
     /** Asks [member] for its report. */
     public data class Probe(val member: MemberName) : GroupEffect
 
-    /** Asks other VMs when they last heard [primary]. */
+    /** Asks other VMs when [primary] last answered them. */
     public data class RequestContactReports(val primary: MemberName) : GroupEffect
 
     /** Asks [member] to accept [proposal]. */
@@ -69,9 +69,9 @@
     /** Makes [member] follow [primary] in [term]. */
     public data class Follow(val term: Term, val primary: MemberName, val member: MemberName) : GroupEffect
 
-    /** Tells listeners that the term or the primary has changed. */
+    /** Notifies listeners that the term or the primary has changed. */
     public data class ViewChanged(val view: GroupView) : GroupEffect
 
-    /** Publishes, as far as possible, a primary that this VM has promoted for [reason]. */
+    /** Publishes, on a best-effort basis, the primary that this VM has promoted for [reason]. */
     public data class PublishPromotion(val view: GroupView, val reason: LossReason) : GroupEffect
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupTiming.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupTiming.kt
@@ -5,30 +5,33 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Times by which a group is observed and its primary replaced.
+ * Intervals, timeouts and thresholds for probing the members of a group and replacing its primary.
  *
  * @property probeInterval time between two reports of a member while the group is healthy.
- * @property suspectedProbeInterval time between two reports of a member while the primary is in doubt.
- * @property confirmationInterval time between two reports of a replica while writes wait for their confirmation.
- * @property probeTimeout time within which an answer counts, however slow.
- * @property reportValidity age up to which the last report of a member counts as its present state.
- * @property missesWithDeafReplicas consecutive misses that prove the loss of a primary that no replica hears either.
- * The second one goes over a fresh connection.
- * @property falseAlarmRate how often lost messages alone may cause the run of misses that proves the loss of a primary
- * that a replica still hears; the number of misses follows from it and from the measured share of lost calls.
- * @property minimumLossRate share of lost calls that is assumed of a link that has lost none.
- * @property maximumMisses consecutive misses that are enough over any link.
- * @property minimumSilence shortest silence of a primary that proves its loss, however fast its misses come.
- * @property replicaSilence time without contact after which a replica no longer hears its primary.
- * @property cutOffSilence time without contact to any replica after which a primary that still answers is replaced.
- * @property leaderlessGrace time that a promotion under way elsewhere gets before another one starts.
- * @property conflictGrace time that a single replica may stay in a higher term than the primary's.
+ * @property suspectedProbeInterval time between two reports of a member while the primary is suspected or lost.
+ * @property confirmationInterval time between two reports of a member while writes wait for confirmation by it or
+ * reads for proof that a majority follows the primary.
+ * @property probeTimeout timeout of a report call; an answer within it counts, however slow.
+ * @property reportValidity age up to which the last report of a member counts as its current state.
+ * @property missesWithDisconnectedReplicas consecutive misses after which a primary counts as silent, which is enough
+ * if no replica is in contact with it either. The second call uses a new connection.
+ * @property falsePositiveRate probability that message loss alone causes the consecutive misses after which a primary
+ * counts as lost although a replica is in contact with it; it and the observed loss rate give the number of misses.
+ * @property minimumLossRate loss rate that is assumed at least, also for a link that has lost no call.
+ * @property maximumMisses upper limit of the consecutive misses needed, whatever the loss rate.
+ * @property minimumSilence shortest time without an answer after which a primary counts as silent, however fast its
+ * misses follow each other.
+ * @property replicaSilence time without contact after which a replica counts as disconnected from its primary.
+ * @property cutOffSilence time without contact after which replicas count as cut off from a primary that still answers.
+ * @property noPrimaryGrace time that a promotion by another VM gets before this one starts its own.
+ * @property termConflictGrace time for which a minority may stay in a higher term than the primary's.
  * @property rankDelay time that each VM waits for each VM ranked before it.
  * @property callTimeout timeout of one call that accepts a term, promotes or follows.
  * @property retryInterval time between two attempts of such a call.
  * @property promotionDeadline time after which a promotion without a majority is abandoned.
- * @property backoff shortest wait after a lost or failed promotion; doubles with each until [maximumBackoff].
- * @property pauseBound gap between two wake-ups that shows that this VM itself was paused.
+ * @property initialBackoff delay after the first lost or abandoned promotion, before jitter; doubles with each until
+ * [maximumBackoff].
+ * @property pauseThreshold gap between two events after which this VM counts as having been paused itself.
  */
 public data class GroupTiming(
     val probeInterval: Duration = 200.milliseconds,
@@ -36,41 +39,41 @@
     val confirmationInterval: Duration = 5.milliseconds,
     val probeTimeout: Duration = 800.milliseconds,
     val reportValidity: Duration = 1500.milliseconds,
-    val missesWithDeafReplicas: Int = 2,
-    val falseAlarmRate: Double = 1e-5,
+    val missesWithDisconnectedReplicas: Int = 2,
+    val falsePositiveRate: Double = 1e-5,
     val minimumLossRate: Double = 0.02,
     val maximumMisses: Int = 10,
     val minimumSilence: Duration = 1.seconds,
     val replicaSilence: Duration = 600.milliseconds,
     val cutOffSilence: Duration = 1500.milliseconds,
-    val leaderlessGrace: Duration = 600.milliseconds,
-    val conflictGrace: Duration = 5.seconds,
+    val noPrimaryGrace: Duration = 600.milliseconds,
+    val termConflictGrace: Duration = 5.seconds,
     val rankDelay: Duration = 400.milliseconds,
     val callTimeout: Duration = 400.milliseconds,
     val retryInterval: Duration = 100.milliseconds,
     val promotionDeadline: Duration = 1500.milliseconds,
-    val backoff: Duration = 100.milliseconds,
+    val initialBackoff: Duration = 100.milliseconds,
     val maximumBackoff: Duration = 2.seconds,
-    val pauseBound: Duration = 600.milliseconds,
+    val pauseThreshold: Duration = 600.milliseconds,
 ) {
     public companion object {
-        /** Bytes of one report on the wire, request, answer and headers included. */
+        /** Bytes of one report call on the wire, with request, answer and headers. */
         public const val REPORT_BYTES: Int = 200
 
-        /** Bytes a second that a VM spends on the reports of all groups it observes. */
+        /** Budget of a VM in bytes per second for the reports of all groups it observes. */
         public const val REPORT_BYTES_PER_SECOND: Int = 6_000
 
         private const val MILLISECONDS_PER_SECOND = 1_000
 
         /**
-         * Returns the times for a VM that observes [groups] groups of [membersEach] members. The probe interval grows
-         * with their number, so that the reports stay within [REPORT_BYTES_PER_SECOND].
+         * Returns the timing for a VM that observes [groups] groups of [membersPerGroup] members. The probe interval
+         * grows with their number, so that the reports stay within [REPORT_BYTES_PER_SECOND].
          */
-        public fun forGroups(groups: Int, membersEach: Int = 3): GroupTiming {
+        public fun forGroups(groups: Int, membersPerGroup: Int = 3): GroupTiming {
             val base = GroupTiming()
-            val bytesARound = groups * membersEach * REPORT_BYTES
-            val affordable = (bytesARound * MILLISECONDS_PER_SECOND / REPORT_BYTES_PER_SECOND).milliseconds
-            return base.copy(probeInterval = maxOf(base.probeInterval, affordable))
+            val bytesPerRound = groups * membersPerGroup * REPORT_BYTES
+            val affordableInterval = (bytesPerRound * MILLISECONDS_PER_SECOND / REPORT_BYTES_PER_SECOND).milliseconds
+            return base.copy(probeInterval = maxOf(base.probeInterval, affordableInterval))
         }
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupView.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupView.kt
@@ -9,11 +9,11 @@
 import kotlinx.serialization.Serializable
 
 /**
- * What a VM knows of a database group. It only goes forward: a lower term never replaces a higher one.
+ * Term, primary and log positions of a database group as one VM knows them. A lower term never replaces a higher one.
  *
  * @property term the highest term in which a primary was seen; 0 before the first one.
  * @property primary the primary in [term].
- * @property points last known point of each member; a hint for routing, not a proof.
+ * @property points last known log point of each member; a hint for routing, not a proof.
  */
 @Serializable
 public data class GroupView(
@@ -22,14 +22,14 @@
     val primary: MemberName? = null,
     val points: Map<MemberName, HistoryPoint> = emptyMap(),
 ) {
-    /** Returns this view after [report]. */
+    /** Returns this view updated with [report]. */
     public fun after(report: MemberReport): GroupView {
         val advanced = copy(points = points + (report.member to report.lastEntry))
         val newer = report.servesAsPrimary && report.acceptedTerm > term
         return if (newer) advanced.copy(term = report.acceptedTerm, primary = report.member) else advanced
     }
 
-    /** Returns the union of this view and [other], which another VM has formed. The higher term wins. */
+    /** Returns this view merged with [other] of another VM: the higher term and the higher point of each member win. */
     public fun merge(other: GroupView): GroupView {
         if (other.database != database) return this
         val newest = if (other.term > term) other else this
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/PrimaryTracker.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/PrimaryTracker.kt
@@ -4,41 +4,41 @@
 import kotlin.time.Duration
 
 /**
- * Which member of one group leads, as far as this VM knows. Only what a member proved counts as knowledge; what members
- * claim in discovery is a hint for the time without any. Of two proofs the one that was asked for later counts.
+ * Tracks which member of one group is the primary. A member proves it by answering as the primary does; what members
+ * claim in discovery is used only while there is no proof. Of two proofs the one whose request was sent later counts.
  *
  * Confined to one thread.
  */
 public class PrimaryTracker {
     private var proved: MemberName? = null
-    private var decidedAt = -Duration.INFINITE
+    private var lastEvidenceAt = -Duration.INFINITE
     private var claimed: MemberName? = null
-    private var last: MemberName? = null
+    private var lastProved: MemberName? = null
 
-    /** The member to send writes to; null where there is no sign of one. */
+    /** The member to send writes to; null where none has proved or claimed to be the primary. */
     public val primary: MemberName? get() = proved ?: claimed
 
-    /** Whether the lead of [primary] was proved and not disproved since. */
+    /** Whether [primary] has proved that it is the primary and has not been disproved since. */
     public val isProved: Boolean get() = proved != null
 
-    /** Notes that [member] acted as primary when asked at [askedAt]; tells whether another one led before. */
-    public fun prove(member: MemberName, askedAt: Duration): Boolean {
-        if (proved != member && askedAt < decidedAt) return false
-        decidedAt = maxOf(decidedAt, askedAt)
+    /** Records that [member] acted as primary on a request sent at [sentAt]; returns whether the primary changed. */
+    public fun prove(member: MemberName, sentAt: Duration): Boolean {
+        if (proved != member && sentAt < lastEvidenceAt) return false
+        lastEvidenceAt = maxOf(lastEvidenceAt, sentAt)
         proved = member
-        return (last != member).also { last = member }
+        return (lastProved != member).also { lastProved = member }
     }
 
-    /** Notes that [member] refused to act as primary when asked at [askedAt]; tells whether that changed the belief. */
-    public fun disprove(member: MemberName, askedAt: Duration): Boolean {
+    /** Records that [member] refused to act as primary on a request sent at [sentAt]; returns whether it was proved. */
+    public fun disprove(member: MemberName, sentAt: Duration): Boolean {
         if (claimed == member) claimed = null
-        if (proved != member || askedAt < decidedAt) return false
-        decidedAt = askedAt
+        if (proved != member || sentAt < lastEvidenceAt) return false
+        lastEvidenceAt = sentAt
         proved = null
         return true
     }
 
-    /** Notes that discovery names [member] as one that calls itself primary, or none. */
+    /** Records the [member] that claims to be the primary in discovery, or null where none does. */
     public fun claim(member: MemberName?) {
         claimed = member
     }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/duty/DutyLease.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/duty/DutyLease.kt
@@ -4,81 +4,82 @@
 import kotlin.time.Duration
 
 /**
- * State of a duty in the platform's store.
+ * Lease record of a duty in the platform's object store.
  *
- * @property holder the process that holds it; empty where it was given up.
- * @property token fencing token, which grows with each holder and each new decision of one holder.
- * @property renewal counts the renewals, so that each changes the object.
+ * @property holder name of the process that holds the lease; empty after a release.
+ * @property token fencing token, which grows with each new holder and each [DutyLease.advancedRecord].
+ * @property renewal count of renewals, so that each renewal changes the stored record.
  */
 @Serializable
 public data class DutyRecord(val holder: String, val token: Long, val renewal: Long)
 
-/** What the owner of a [DutyLease] does next. */
+/** Next action of the owner of a [DutyLease]. */
 public sealed interface LeaseStep {
     /** Writes [record] over the version that was observed. */
     public data class Write(val record: DutyRecord) : LeaseStep
 
-    /** Waits for another look. */
+    /** Polls the record again later. */
     public data object Wait : LeaseStep
 }
 
 /**
- * The lease of one duty as one process sees it. It is taken over after its record has stayed unchanged for [validity],
- * and held for less than that after the last renewal was sent. Fencing, not the lease, makes two holders harmless.
+ * One process's side of the lease of one duty. The lease is taken over after its record has stayed unchanged for
+ * [validity], and counts as held for a shorter time after its last renewal was sent. Safety with two holders at once
+ * comes from the fencing token, not from the lease.
  *
  * Confined to one thread.
  *
- * @param self name of this process, unique among all lives of all VMs.
+ * @param processName name of this process, unique across all VMs and their restarts.
  */
-public class DutyLease(private val self: String, private val validity: Duration) {
-    private var seen: DutyRecord? = null
-    private var seenAt = Duration.ZERO
+public class DutyLease(private val processName: String, private val validity: Duration) {
+    private var observed: DutyRecord? = null
+    private var observedAt = Duration.ZERO
 
-    /** Until when this process may act; null where it may not. */
+    /** Time until which this process may act for the duty; null where it may not act. */
     public var heldUntil: Duration? = null
         private set
     private var token = 0L
 
-    /** Notes the [record] in the store, null where there is none, and returns what to do at [now]. */
+    /** Records the [record] read from the store, null where there is none, and returns the action to take at [now]. */
     public fun observe(record: DutyRecord?, now: Duration): LeaseStep {
-        if (record != seen) {
-            seen = record
-            seenAt = now
+        if (record != observed) {
+            observed = record
+            observedAt = now
         }
         return when {
-            record == null -> LeaseStep.Write(DutyRecord(self, 1, 0))
-            record.holder == self -> LeaseStep.Write(record.copy(renewal = record.renewal + 1))
-            record.holder.isEmpty() || now - seenAt > validity -> LeaseStep.Write(taken(record))
+            record == null -> LeaseStep.Write(DutyRecord(processName, 1, 0))
+            record.holder == processName -> LeaseStep.Write(record.copy(renewal = record.renewal + 1))
+            record.holder.isEmpty() || now - observedAt > validity -> LeaseStep.Write(takeoverRecord(record))
             else -> LeaseStep.Wait.also { heldUntil = null }
         }
     }
 
-    /** Notes that the store acknowledged [record], the writing of which began at [sentAt]. */
+    /** Records that the store acknowledged the write of [record], which was sent at [sentAt]. */
     public fun recordWrite(record: DutyRecord, sentAt: Duration) {
-        seen = record
-        seenAt = sentAt
+        observed = record
+        observedAt = sentAt
         token = record.token
-        heldUntil = if (record.holder == self) sentAt + validity * HELD_PART else null
+        heldUntil = if (record.holder == processName) sentAt + validity * HELD_FRACTION else null
     }
 
-    /** Returns the record that renews the duty; null where this process does not hold it as far as it knows. */
+    /** Returns the record that renews the lease; null where this process was not the holder at the last observation. */
     public fun renewedRecord(): DutyRecord? =
-        seen?.takeIf { it.holder == self }?.let { it.copy(renewal = it.renewal + 1) }
+        observed?.takeIf { it.holder == processName }?.let { it.copy(renewal = it.renewal + 1) }
 
     /** Returns the fencing token while this process may act, and null otherwise. */
     public fun fencingTokenAt(now: Duration): Long? = token.takeIf { heldUntil?.let { until -> now < until } ?: false }
 
-    /** Returns the record that fences off everything that this holder ordered before; null where it holds nothing. */
+    /** Returns the record with a higher token, which fences off earlier orders of this holder; null where not held. */
     public fun advancedRecord(): DutyRecord? =
-        seen?.takeIf { it.holder == self }?.let { it.copy(token = it.token + 1, renewal = it.renewal + 1) }
+        observed?.takeIf { it.holder == processName }?.let { it.copy(token = it.token + 1, renewal = it.renewal + 1) }
 
-    /** Returns the record that gives the duty up; null where it is not held. */
-    public fun releasedRecord(): DutyRecord? = seen?.takeIf { it.holder == self }?.copy(holder = "")
+    /** Returns the record that releases the lease; null where it is not held. */
+    public fun releasedRecord(): DutyRecord? = observed?.takeIf { it.holder == processName }?.copy(holder = "")
 
-    private fun taken(record: DutyRecord) = DutyRecord(self, record.token + 1, record.renewal + 1)
+    private fun takeoverRecord(record: DutyRecord) = DutyRecord(processName, record.token + 1, record.renewal + 1)
 
     private companion object {
-        /** Part of the validity for which the holder acts; the rest covers clocks that run at different speeds. */
-        const val HELD_PART = 0.8
+        /** Fraction of the validity for which the holder acts; the rest allows for clocks of different speed. */
+        const val HELD_FRACTION = 0.8
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/history/Positions.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/history/Positions.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Number of a primary's reign in a database group. Each promotion takes a higher one. */
+/** Term (epoch) of a database group, which has at most one primary. Each promotion uses a higher term. */
 @JvmInline
 @Serializable
 public value class Term(public val value: Long) : Comparable<Term> {
@@ -14,7 +14,7 @@
     override fun toString(): String = value.toString()
 }
 
-/** Position in the log of a database group, counted in entries or bytes as the database does. */
+/** Position in the log of a database group, in entries or bytes depending on the database. */
 @JvmInline
 @Serializable
 public value class LogPosition(public val value: Long) : Comparable<LogPosition> {
@@ -33,7 +33,7 @@
 public data class HistoryPoint(val term: Term, val position: LogPosition) : Comparable<HistoryPoint> {
     override fun compareTo(other: HistoryPoint): Int = compareValuesBy(this, other, { it.term }, { it.position })
 
-    /** Tells whether a member whose last entry is at this point holds everything up to [required]. */
+    /** Returns whether a member whose last entry is at this point holds every acknowledged write up to [required]. */
     public fun covers(required: HistoryPoint): Boolean = this >= required
 
     override fun toString(): String = "$term:$position"
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/idempotency/IdempotencyRecord.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/idempotency/IdempotencyRecord.kt
@@ -13,37 +13,37 @@
 import kotlin.time.Duration.Companion.hours
 import kotlin.time.toJavaDuration
 
-/** What the record of an idempotency key says about a request with the same key. */
+/** Result of looking up the record of an idempotency key. */
 public sealed interface RecordLookup {
-    /** No record: work with this key has not committed in the history that was read. */
+    /** There is no record: no work with this key had committed in the data that was read. */
     public data object Absent : RecordLookup
 
     /** The same work has committed; [results] is its first answer. */
     public data class SameWork(val results: List<StatementResult>) : RecordLookup
 
-    /** Other work has committed under this key. */
+    /** Different work has committed under this key. */
     public data object OtherWork : RecordLookup
 
-    /** A question for the outcome found no record and closed the key for good. */
+    /** A query for the outcome found no record and abandoned the key, so that work with it can no longer commit. */
     public data object Abandoned : RecordLookup
 }
 
 /**
- * The records that make keyed work run at most once. A record lives in the database group itself and commits in the
- * transaction of the work, so that the two are kept or lost together. Record keys hold the team, so that teams never
- * meet.
+ * SQL statements for the records that make work with an idempotency key run at most once. A record is stored in the
+ * database group itself and commits in the transaction of the work, so that both are kept or lost together. Record keys
+ * contain the team, so that equal keys of different teams do not collide.
  */
 public object IdempotencyRecord {
     /** Time for which a record is kept after its work has committed. */
     public val RETENTION: Duration = 24.hours
 
-    /** Number of outdated records that one clean-up deletes at most. */
+    /** Maximum number of outdated records that one clean-up deletes. */
     public const val CLEAN_UP_BATCH: Int = 500
 
-    /** SQL state of a violated unique key: another request with the same key has committed first. */
+    /** SQL state of a unique violation: another request with the same key has committed first. */
     public const val UNIQUE_VIOLATION: String = "23505"
 
-    /** SQL states by which databases say that the table of records does not exist. */
+    /** SQL states with which databases report that the table of records does not exist. */
     public val missingTableStates: Set<String> = setOf("42P01", "42S02", "42S03", "42S04")
 
     /** Creates the table of records where it does not exist. */
@@ -58,20 +58,20 @@
         listOf(recordKey(team, key), SqlValue.Integer(digest(work)), SqlValue.Integer(now.toEpochMilli())),
     )
 
-    /** Inserts a record that keeps every attempt with [key] from committing; fails like [insert]. */
+    /** Inserts a record that prevents every attempt with [key] from committing; fails like [insert]. */
     public fun abandon(
         team: TeamName,
         key: IdempotencyKey,
         now: Instant,
     ): Statement = insert(team, key, emptyList(), now)
 
-    /** Puts the answer into the record of [key], in the same transaction as [insert]. */
+    /** Stores the answer in the record of [key]; runs in the same transaction as [insert]. */
     public fun complete(team: TeamName, key: IdempotencyKey, results: List<StatementResult>): Statement = Statement(
         "UPDATE kumquatknot_record SET answer = ? WHERE record_key = ?",
         listOf(SqlValue.Text(Json.encodeToString(resultList, results)), recordKey(team, key)),
     )
 
-    /** Reads the record of [key]; [lookup] reads the result. */
+    /** Selects the record of [key]; [lookup] interprets the result. */
     public fun select(team: TeamName, key: IdempotencyKey): Statement = Statement(
         "SELECT work_digest, answer FROM kumquatknot_record WHERE record_key = ?",
         listOf(recordKey(team, key)),
@@ -85,8 +85,8 @@
     )
 
     /**
-     * Interprets the [result] of [select] for a request to run [work]; null stands for a question that names only the
-     * key.
+     * Interprets the [result] of [select] for a request to run [work]; null stands for an outcome query, which
+     * names only the key.
      */
     public fun lookup(result: StatementResult, work: List<Statement>?): RecordLookup {
         val row = result.rows.firstOrNull() ?: return RecordLookup.Absent
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/identity/Identities.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/identity/Identities.kt
@@ -20,7 +20,7 @@
     override fun toString(): String = value
 }
 
-/** Name of a VM that runs a node of the proxy. A replaced VM comes back under a new name. */
+/** Name of a VM that runs a node of the proxy. The replacement of a VM has a new name. */
 @JvmInline
 @Serializable
 public value class VmName(public val value: String) : Comparable<VmName> {
@@ -65,7 +65,7 @@
     override fun toString(): String = value
 }
 
-/** Identity of one request, unique in the fleet; answers are matched by it. */
+/** Identifier of one request, unique in the fleet; answers are matched to requests by it. */
 @JvmInline
 @Serializable
 public value class RequestId(public val value: String) {
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/member/MemberPort.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/member/MemberPort.kt
@@ -15,11 +15,11 @@
 }
 
 /**
- * What a member says about itself.
+ * Status that a member reports about itself.
  *
- * @property acceptedTerm highest term accepted; the member rejects whatever carries a lower one.
- * @property lastEntry point of the last log entry that the member holds and shows to readers.
- * @property primaryContactAge time since a replica last heard from the primary it follows; null at a primary.
+ * @property acceptedTerm highest term accepted; the member rejects calls with a lower one.
+ * @property lastEntry point of the last log entry that the member holds and that reads see.
+ * @property primaryContactAge time since a replica last received data from the primary it follows; null at a primary.
  */
 public data class MemberReport(
     val member: MemberName,
@@ -29,15 +29,15 @@
     val primaryContactAge: Duration?,
 )
 
-/** Bid of [proposer] for [term]. A member accepts a term once, from one proposer. */
+/** Proposal of [term] by [proposer]. A member accepts a term from one proposer only. */
 public data class TermProposal(val term: Term, val proposer: VmName)
 
 /** Failure of a call to a member. */
 public sealed interface MemberFailure {
-    /** The member at which it arose. */
+    /** The member that was called. */
     public val member: MemberName
 
-    /** The step at which it arose. */
+    /** The step at which the call failed. */
     public val step: Step
 
     /** Text for logs and callers. */
@@ -50,7 +50,7 @@
         override val detail: String,
     ) : MemberFailure
 
-    /** The member has no connection to spare; it ran nothing. */
+    /** The member has no free connection; it ran nothing. */
     public data class TooManyConnections(override val member: MemberName, override val detail: String) : MemberFailure {
         override val step: Step = Step.CONNECT
     }
@@ -64,7 +64,7 @@
         override val detail: String get() = "member $member has accepted term $acceptedTerm"
     }
 
-    /** The member is a replica and runs no change; it ran nothing. */
+    /** The member is a replica and rejected a change; it ran nothing. */
     public data class NotPrimary(
         override val member: MemberName,
         override val step: Step,
@@ -90,14 +90,14 @@
     ) : MemberFailure
 }
 
-/** One open connection to a member. Used by one thread at a time, but for [close]. */
+/** One open connection to a member. Used by one thread at a time, except for [close]. */
 public interface MemberConnection {
-    /** Runs [batch] and waits for its answer at most [timeout]. After [MemberFailure.NoAnswer] it is of no more use. */
+    /** Runs [batch], waiting at most [timeout] for its answer. Unusable after [MemberFailure.NoAnswer]. */
     public fun run(batch: StatementBatch, timeout: Duration): Either<MemberFailure, BatchReply>
 
     /**
-     * Closes the connection; an open transaction is rolled back by the member. Never waits. Any thread may call it; a
-     * [run] that waits for its answer then ends with [MemberFailure.NoAnswer].
+     * Closes the connection; an open transaction is rolled back by the member. Never blocks. Any thread may call it; a
+     * [run] that is waiting for its answer then ends with [MemberFailure.NoAnswer].
      */
     public fun close()
 }
@@ -105,23 +105,23 @@
 /** Opens a connection within the given time. */
 public typealias ConnectMember = (timeout: Duration) -> Either<MemberFailure, MemberConnection>
 
-/** Asks a member for its report, over a control connection that is opened as needed. */
+/** Asks a member for its report, over a control connection that is opened on demand. */
 public typealias ReportMember = (timeout: Duration) -> Either<MemberFailure, MemberReport>
 
-/** Asks a member to accept a term: it then rejects lower ones and confirms nothing in them. */
+/** Asks a member to accept a term; it then rejects calls with lower terms and confirms nothing in them. */
 public typealias AcceptTerm = (proposal: TermProposal, timeout: Duration) -> Either<MemberFailure, MemberReport>
 
-/** Makes a member that has accepted [TermProposal.term] of the same proposer the primary in it. */
+/** Promotes a member that has accepted [TermProposal.term] from the same proposer to the primary of that term. */
 public typealias PromoteMember = (proposal: TermProposal, timeout: Duration) -> Either<MemberFailure, MemberReport>
 
 /**
- * Makes a member follow [primary] in [term]. It discards the entries that the primary's history lacks. Idempotent;
+ * Makes a member follow [primary] in [term]. The member discards entries that the primary's log lacks. Idempotent;
  * rejected when the member has accepted a higher term.
  */
 public typealias FollowPrimary =
     (term: Term, primary: MemberName, timeout: Duration) -> Either<MemberFailure, MemberReport>
 
-/** The database side of the proxy: everything it asks of one member. */
+/** Port of the proxy to one member: all calls that it makes to the member's backend server. */
 public class MemberPort(
     public val member: MemberName,
     public val connect: ConnectMember,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/member/Statements.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/member/Statements.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A parameter or a cell of a result. */
+/** Value of a statement parameter or of one cell of a result. */
 @Serializable
 public sealed interface SqlValue {
     /** SQL null. */
@@ -29,7 +29,7 @@
     @SerialName("real")
     public data class Real(val value: Double) : SqlValue
 
-    /** A truth value. */
+    /** A boolean. */
     @Serializable
     @SerialName("boolean")
     public data class Bool(val value: Boolean) : SqlValue
@@ -60,12 +60,12 @@
 }
 
 /**
- * Statements that run in order on one connection and in one transaction. A transaction begins with the first batch
- * on a clean connection and ends as [end] says; a failed statement rolls it back.
+ * Statements that run in order on one connection in one transaction. A transaction begins with the first batch on a
+ * connection without one and ends according to [end]; a failed statement rolls it back.
  *
- * @property term the term in which the sender takes the member to serve; a member that has accepted a higher one
+ * @property term the term in which the sender assumes the member to serve; a member that has accepted a higher one
  * rejects the batch.
- * @property readOnly whether the statements change nothing; only these run at a replica.
+ * @property readOnly whether the statements only read; a replica runs no others.
  */
 public data class StatementBatch(
     val request: RequestId,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/outcome/Outcome.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/outcome/Outcome.kt
@@ -6,23 +6,23 @@
 import kotlinx.serialization.Serializable
 import kotlin.time.Duration
 
-/** What is known about the effect of a request. */
+/** Known effect of a request. */
 @Serializable
 public enum class Effect {
     /** The work ran and its effect is kept. */
     @SerialName("completed")
     COMPLETED,
 
-    /** It is proved that the work did not run and never will. */
+    /** The work provably did not run and never will. */
     @SerialName("not-run")
     NOT_RUN,
 
-    /** The work may or may not have run; the idempotency key resolves it. */
+    /** The work may or may not have run; an idempotency key lets the caller resolve it. */
     @SerialName("unknown")
     UNKNOWN,
 }
 
-/** The step of the path at which a failure arose. */
+/** The step of request processing at which a failure occurred. */
 public enum class Step {
     PARSE,
     AUTHENTICATE,
@@ -42,7 +42,7 @@
     SHUTDOWN,
 }
 
-/** The other end at which a failure arose. */
+/** The party at which a failure occurred. */
 public sealed interface Peer {
     /** The caller itself. */
     public data object Caller : Peer
@@ -60,7 +60,7 @@
     public data object Platform : Peer
 }
 
-/** Reason of a failure, stable across versions; callers branch on it. */
+/** Reason code of a failure. Callers branch on it, so the values are stable across versions. */
 public enum class FailureReason {
     INVALID_REQUEST,
     UNAUTHENTICATED,
@@ -89,7 +89,7 @@
 /**
  * A failed request.
  *
- * @property retryAfter when the caller should come back, where that helps.
+ * @property retryAfter time after which the caller should retry; null where a retry does not help.
  */
 public data class Failure(
     val reason: FailureReason,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/seal/MessageSeal.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/seal/MessageSeal.kt
@@ -10,26 +10,26 @@
 import javax.crypto.Mac
 import javax.crypto.spec.SecretKeySpec
 
-/** Why a sealed text was not opened. */
+/** Reason for which a sealed text is rejected. */
 public enum class SealFailure {
     /** The text is longer than the limit. */
     TOO_LARGE,
 
-    /** The text is not base64url, is cut short, or has an unknown version. */
+    /** The text is not canonical base64url, is too short, or has an unknown version. */
     MALFORMED,
 
-    /** The authentication code fits neither key. */
+    /** The authentication code matches neither key. */
     FORGED,
 }
 
 /**
- * Turns bytes into a text that callers carry but can neither forge nor change: a version, the bytes and a truncated
- * HMAC-SHA256 in base64url. The content is authenticated, not encrypted.
+ * Seals bytes as a text that callers store and send back but can neither forge nor change: a version, the bytes and a
+ * truncated HMAC-SHA256 in base64url. The content is authenticated, not encrypted.
  *
- * @param purpose separates the kinds of sealed texts from each other; a text of one purpose is forged for another.
- * @param key current secret of at least 16 bytes, the same on every VM; new texts carry its code.
- * @param previousKey secret that was current before; its texts are still opened while keys are rotated.
- * @param maximumLength longest text in characters that is looked at.
+ * @param purpose domain separation between kinds of sealed texts; a text of one purpose counts as forged for another.
+ * @param key current secret of at least 16 bytes, the same on every VM; new texts are authenticated with it.
+ * @param previousKey previous secret; texts sealed with it are still accepted while keys are rotated.
+ * @param maximumLength maximum length in characters; longer texts are rejected without decoding.
  */
 public class MessageSeal(
     private val purpose: String,
@@ -46,7 +46,7 @@
         return ENCODER.encodeToString(content + code(current, content))
     }
 
-    /** Returns the bytes that [text] was made of. */
+    /** Verifies [text] and returns the payload that it was sealed from. */
     public fun open(text: String): Either<SealFailure, ByteArray> =
         either {
             ensure(text.length <= maximumLength) { SealFailure.TOO_LARGE }
@@ -80,10 +80,10 @@
     }
 
     public companion object {
-        /** Longest sealed text in characters, where nothing else is said. */
+        /** Default maximum length of a sealed text in characters. */
         public const val DEFAULT_MAXIMUM_LENGTH: Int = 65_536
 
-        /** Fewest bytes of a key. */
+        /** Minimum key length in bytes. */
         public const val MINIMUM_KEY_BYTES: Int = 16
 
         private const val ALGORITHM = "HmacSHA256"
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/session/TokenCodec.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/session/TokenCodec.kt
@@ -16,12 +16,12 @@
 import java.io.DataOutputStream
 import java.io.IOException
 
-/** Why a session token was refused. */
+/** Reason for which a session token is rejected. */
 public sealed interface TokenFailure {
     /** Text for the caller. */
     public val detail: String
 
-    /** The text is longer than any token. */
+    /** The text exceeds the maximum length of a token. */
     public data object TooLarge : TokenFailure {
         override val detail: String = "the session token has more than $MAXIMUM_LENGTH characters"
     }
@@ -47,22 +47,22 @@
 }
 
 /**
- * Writes session tokens as authenticated text and reads them back.
+ * Encodes session tokens as authenticated text and decodes them.
  *
  * @param key current secret of at least 16 bytes, the same on every VM.
- * @param previousKey secret that was current before; its tokens stay valid while keys are rotated.
+ * @param previousKey previous secret; tokens made with it stay valid while keys are rotated.
  */
 public class TokenCodec(key: ByteArray, previousKey: ByteArray? = null) {
     private val seal = MessageSeal("session-token", key, previousKey)
 
-    /** Returns the text of [token], in the characters of base64url. */
+    /** Encodes [token] as base64url text. */
     public fun encode(token: SessionToken): String {
         val bytes = ByteArrayOutputStream()
         DataOutputStream(bytes).use { it.writeToken(token) }
         return seal.seal(bytes.toByteArray())
     }
 
-    /** Returns the token that [text] holds if it was issued to [team]. */
+    /** Decodes [text] to its token if it was issued to [team]. */
     public fun decode(text: String, team: TeamName): Either<TokenFailure, SessionToken> =
         seal.open(text).mapLeft(::failureOf).flatMap(::parse).flatMap {
             if (it.team == team) it.right() else TokenFailure.OtherTeam.left()
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/time/Clock.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/time/Clock.kt
@@ -4,16 +4,16 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.nanoseconds
 
-/** Source of time, passed to everything that needs one. */
+/** Source of time, injected into the code that depends on it. */
 public interface Clock {
-    /** Monotonic time since an arbitrary origin of this process. Decisions and deadlines use it. */
+    /** Monotonic time since an arbitrary origin of this process. Used for decisions and deadlines. */
     public fun elapsed(): Duration
 
-    /** Calendar time, for pages, logs and dates only. */
+    /** Wall-clock time, for pages, logs and dates only. */
     public fun instant(): Instant
 }
 
-/** [Clock] of the running machine. */
+/** [Clock] of the operating system. */
 public object SystemClock : Clock {
     override fun elapsed(): Duration = System.nanoTime().nanoseconds
 
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/time/SuspensionAwareClock.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/time/SuspensionAwareClock.kt
@@ -6,33 +6,33 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * A monotonic [Clock] that also counts the time for which the VM was suspended, which the steady clock leaves out.
+ * A monotonic [Clock] that includes the time for which the VM was suspended, which the system's monotonic clock omits.
  *
- * A suspension shows as calendar time that went on without the steady clock. So does a calendar clock that was set
- * ahead; it is counted as well, since that only makes what is known look older than it is.
+ * A suspension is detected by the wall clock advancing further than the monotonic clock. Setting the wall clock ahead
+ * looks the same and is counted as well: that is safe, since it only makes data look older than it is.
  */
 public class SuspensionAwareClock(
-    private val steadyNanos: () -> Long = System::nanoTime,
-    private val calendarMillis: () -> Long = System::currentTimeMillis,
+    private val monotonicNanos: () -> Long = System::nanoTime,
+    private val wallClockMillis: () -> Long = System::currentTimeMillis,
 ) : Clock {
-    private var offset = calendarMillis() - steadyNanos() / NANOS_PER_MILLI
+    private var offset = wallClockMillis() - monotonicNanos() / NANOS_PER_MILLI
     private var suspended = Duration.ZERO
 
     @Synchronized
     override fun elapsed(): Duration {
-        val steady = steadyNanos()
-        val ahead = calendarMillis() - steady / NANOS_PER_MILLI - offset
+        val monotonic = monotonicNanos()
+        val ahead = wallClockMillis() - monotonic / NANOS_PER_MILLI - offset
         if (ahead > TOLERANCE_MILLIS) suspended += ahead.milliseconds
         if (ahead > TOLERANCE_MILLIS || ahead < 0) offset += ahead
-        return steady.nanoseconds + suspended
+        return monotonic.nanoseconds + suspended
     }
 
-    override fun instant(): Instant = Instant.ofEpochMilli(calendarMillis())
+    override fun instant(): Instant = Instant.ofEpochMilli(wallClockMillis())
 
     private companion object {
         const val NANOS_PER_MILLI = 1_000_000
 
-        /** Rounding of the calendar clock and a thread that loses the processor between two readings. */
+        /** Allows for rounding of the wall clock and for a thread that is preempted between reading the two clocks. */
         const val TOLERANCE_MILLIS = 20
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/transaction/TransactionHandleCodec.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/transaction/TransactionHandleCodec.kt
@@ -16,7 +16,7 @@
 import java.io.DataOutputStream
 import java.io.IOException
 
-/** An interactive transaction as its caller refers to it: where it is held, and for which team, kind and database. */
+/** Reference to an interactive transaction: the VM that holds it, and its team, kind and database. */
 public data class TransactionReference(
     val team: TeamName,
     val database: DatabaseName,
@@ -24,12 +24,12 @@
     val handle: TransactionHandle,
 )
 
-/** Why a transaction handle was refused. */
+/** Reason for which a transaction handle is rejected. */
 public sealed interface HandleFailure {
     /** Text for the caller. */
     public val detail: String
 
-    /** The text is longer than any handle. */
+    /** The text exceeds the maximum length of a handle. */
     public data object TooLarge : HandleFailure {
         override val detail: String = "the transaction handle is longer than $MAXIMUM_LENGTH characters"
     }
@@ -55,15 +55,15 @@
 }
 
 /**
- * Writes transaction handles as authenticated text and reads them back.
+ * Encodes transaction handles as authenticated text and decodes them.
  *
  * @param key current secret of at least 16 bytes, the same on every VM.
- * @param previousKey secret that was current before; its handles stay valid while keys are rotated.
+ * @param previousKey previous secret; handles made with it stay valid while keys are rotated.
  */
 public class TransactionHandleCodec(key: ByteArray, previousKey: ByteArray? = null) {
     private val seal = MessageSeal("transaction-handle", key, previousKey, MAXIMUM_LENGTH)
 
-    /** Returns the text of [reference], in the characters of base64url. */
+    /** Encodes [reference] as base64url text. */
     public fun encode(reference: TransactionReference): String {
         val bytes = ByteArrayOutputStream()
         DataOutputStream(bytes).use {
@@ -76,7 +76,7 @@
         return seal.seal(bytes.toByteArray())
     }
 
-    /** Returns the transaction that [text] refers to if it was issued to [team]. */
+    /** Decodes [text] to its transaction reference if it was issued to [team]. */
     public fun decode(text: String, team: TeamName): Either<HandleFailure, TransactionReference> =
         seal.open(text).mapLeft(::failureOf).flatMap(::parse).flatMap {
             if (it.team == team) it.right() else HandleFailure.OtherTeam.left()
@@ -102,7 +102,7 @@
         }
 
     public companion object {
-        /** Longest handle in characters. */
+        /** Maximum length of a handle in characters. */
         public const val MAXIMUM_LENGTH: Int = 2_048
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecisionSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecisionSpec.kt
@@ -48,7 +48,7 @@
         }
 
         @Test
-        fun `while no replica answers, as for a VM that is cut off itself`() {
+        fun `while no replica answers either, as for a VM that is isolated itself`() {
             expectThat(decide(failing("primary", 5.seconds), failing("b", 5.seconds), failing("c", 5.seconds))).isNull()
         }
 
@@ -68,20 +68,20 @@
     @Nested
     inner class `an order` {
         @Test
-        fun `names the replica that has received most`() {
+        fun `names the replica with the longest received log`() {
             val order = decide(failing("primary", 2.seconds), healthy("b", received = 11), healthy("c", received = 12))
             expectThat(order).isNotNull().get { candidate }.isEqualTo(MemberName("c"))
         }
 
         @Test
-        fun `passes over a replica that is leaving`() {
+        fun `skips a replica that is leaving`() {
             val leaving = healthy("c", received = 12, leaving = true)
             val order = decide(failing("primary", 2.seconds), healthy("b", received = 11), leaving)
             expectThat(order).isNotNull().get { candidate }.isEqualTo(MemberName("b"))
         }
 
         @Test
-        fun `comes sooner where the primary's address rejects connections`() {
+        fun `comes sooner if the primary's address refuses connections`() {
             val order = decide(failing("primary", 500.milliseconds, refusing = true), healthy("b"))
             expectThat(order).isNotNull().get { reason }.isEqualTo(FailoverReason.PRIMARY_REFUSING)
         }
@@ -93,13 +93,13 @@
         }
 
         @Test
-        fun `is given again where the first one had no effect`() {
+        fun `is repeated if the first one had no effect`() {
             decision.recordOrder(MemberName("b"), now - 4.seconds)
             expectThat(decide(failing("primary", 5.seconds), healthy("b"))).isNotNull()
         }
 
         @Test
-        fun `is given where nobody leads for some time`() {
+        fun `is given after some time without a primary`() {
             val members = listOf(healthy("b"), healthy("c"))
             expectThat(decision.decide(members, null, false, now - 3.seconds)).isNull()
             expectThat(decision.decide(members, null, false, now)).isNotNull()
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FakeMember.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FakeMember.kt
@@ -15,7 +15,7 @@
 import dev.kumquatknot.core.outcome.Step
 import kotlin.time.Duration
 
-/** The log up to one entry; [write] is null for the entry with which a primary starts its term. */
+/** A log up to and including one entry; [write] is null for the entry with which a primary starts its term. */
 class FakeLog(private val previous: FakeLog?, val term: Term, val write: Int?) {
     val size: Int = (previous?.size ?: 0) + 1
 
@@ -23,12 +23,12 @@
 
     fun writes(): Set<Int> = generateSequence(this) { it.previous }.mapNotNull { it.write }.toSet()
 
-    /** The longest log that this one and [other] both begin with. */
-    fun common(other: FakeLog): FakeLog? = generateSequence(upTo(other.size)) { it.previous }
+    /** The longest common prefix of this log and [other]. */
+    fun commonPrefix(other: FakeLog): FakeLog? = generateSequence(upTo(other.size)) { it.previous }
         .firstOrNull { it === other.upTo(it.size) }
 }
 
-/** A member with the semantics of the database groups: terms, a log and asynchronous replication. */
+/** A fake member with the semantics of a database group: terms, a log and asynchronous replication. */
 class FakeMember(val name: MemberName) {
     var role = MemberRole.REPLICA
         private set
@@ -49,9 +49,9 @@
     }
 
     fun accept(proposal: TermProposal, now: Duration): Either<MemberFailure, MemberReport> {
-        val again = proposal.term == acceptedTerm && proposal.proposer == proposer
-        if (proposal.term <= acceptedTerm && !again) return refused()
-        if (!again) {
+        val isRepeated = proposal.term == acceptedTerm && proposal.proposer == proposer
+        if (proposal.term <= acceptedTerm && !isRepeated) return lowerTerm()
+        if (!isRepeated) {
             acceptedTerm = proposal.term
             proposer = proposal.proposer
             role = MemberRole.REPLICA
@@ -61,7 +61,7 @@
     }
 
     fun promote(proposal: TermProposal, now: Duration): Either<MemberFailure, MemberReport> {
-        if (proposal.term != acceptedTerm || proposal.proposer != proposer) return refused()
+        if (proposal.term != acceptedTerm || proposal.proposer != proposer) return lowerTerm()
         if (role != MemberRole.PRIMARY) {
             role = MemberRole.PRIMARY
             log = FakeLog(log, acceptedTerm, null)
@@ -70,7 +70,7 @@
     }
 
     fun follow(term: Term, primary: MemberName, now: Duration): Either<MemberFailure, MemberReport> {
-        if (term < acceptedTerm || primary == name) return refused()
+        if (term < acceptedTerm || primary == name) return lowerTerm()
         if (term > acceptedTerm) {
             acceptedTerm = term
             proposer = null
@@ -86,18 +86,18 @@
         return lastEntry
     }
 
-    /** Takes over the primary's [entries] unless it has them; contact counts even where entries lag behind. */
+    /** Copies the primary's [entries] unless the log has them; records contact with the primary in either case. */
     fun replicate(term: Term, primary: MemberName, entries: FakeLog?, now: Duration) {
         if (term != acceptedTerm || following != primary) return
         contactAt = now
         if (entries != null && log?.upTo(entries.size) !== entries) log = entries
     }
 
-    /** The process ends and starts again with its log and terms, as a replica of nobody. */
+    /** Restarts the process: log and term survive, but it is a replica that follows no primary. */
     fun restart() {
         role = MemberRole.REPLICA
         following = null
     }
 
-    private fun refused() = MemberFailure.LowerTerm(name, Step.PROMOTE, acceptedTerm).left()
+    private fun lowerTerm() = MemberFailure.LowerTerm(name, Step.PROMOTE, acceptedTerm).left()
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofsSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofsSpec.kt
@@ -32,22 +32,22 @@
         }
 
         @Test
-        fun `counts the age from before the question, not from its answer`() {
+        fun `counts the age from the sending of the request, not from its answer`() {
             proofs.record(point(3), 100.milliseconds)
             expectThat(proofs.required(700.milliseconds, 599.milliseconds)).isNull()
         }
 
         @Test
-        fun `is not lowered by an answer that overtook a newer one`() {
+        fun `is not lowered by the answer to an earlier request that arrives late`() {
             proofs.record(point(7), 400.milliseconds)
             proofs.record(point(6), 300.milliseconds)
             expectThat(proofs.latest).isEqualTo(point(7))
         }
 
         @Test
-        fun `is unknown after the proofs were forgotten`() {
+        fun `is unknown after a reset`() {
             proofs.record(point(3), 100.milliseconds)
-            proofs.forget()
+            proofs.reset()
             expectThat(proofs.required(100.milliseconds, 500.milliseconds)).isNull()
         }
     }
@@ -55,14 +55,14 @@
     @Nested
     inner class `a change of primary` {
         @Test
-        fun `no longer asks replicas for what was rolled back`() {
+        fun `no longer requires replicas to reach entries that were rolled back`() {
             proofs.record(point(133), 1_000.milliseconds)
             proofs.recordPrimaryChange(point(38), 2_000.milliseconds)
             expectThat(proofs.required(2_100.milliseconds, 1_500.milliseconds)).isEqualTo(point(38))
         }
 
         @Test
-        fun `keeps the ages of points that the new primary has`() {
+        fun `keeps the proofs of points that the new primary has`() {
             proofs.record(point(30), 1_000.milliseconds)
             proofs.recordPrimaryChange(point(38), 2_000.milliseconds)
             expectThat(proofs.required(2_100.milliseconds, 1_500.milliseconds)).isEqualTo(point(30))
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSafetySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSafetySpec.kt
@@ -20,8 +20,8 @@
 
     private val scenarios = arbitrary { it.random.nextLong() }
 
-    /** A run under faults drawn from [scenario]; the faults end at 20 s and the group has 10 s to recover. */
-    private fun run(scenario: Long, rules: Rules = Rules()): GroupSimulation {
+    /** Runs random faults seeded by [scenario]; the faults end at 20 s and the group has 10 s to recover. */
+    private fun run(scenario: Long, rules: ProtocolRules = ProtocolRules()): GroupSimulation {
         val simulation = GroupSimulation(scenario, 8.milliseconds, rules)
         val faults = RandomFaults(simulation)
         simulation.nodes.forEach { it.writeEvery(60.milliseconds, 28.seconds) }
@@ -31,15 +31,15 @@
         return simulation
     }
 
-    private fun violationsOf(rules: Rules): List<String> =
-        (0 until PLANTED_RUNS).asSequence().map {
+    private fun violationsOf(rules: ProtocolRules): List<String> =
+        (0 until BROKEN_RULE_RUNS).asSequence().map {
             run(seed + it, rules).violations
         }.firstOrNull { it.isNotEmpty() }.orEmpty()
 
     @Nested
-    inner class `under any two or more faults at once` {
+    inner class `under random concurrent faults` {
         @Test
-        fun `keeps every acknowledged write, one primary a term, and proves only true ages`() = runBlocking<Unit> {
+        fun `keeps acknowledged writes, has one primary per term, and proves only valid ages`() = runBlocking<Unit> {
             println("GroupSafetySpec: seed $seed, $runs runs (-Dgroup.seed, -Dgroup.runs)")
             checkAll(runs, PropTestConfig(seed = seed), scenarios) { scenario ->
                 expectThat(run(scenario).violations).isEmpty()
@@ -47,15 +47,15 @@
         }
 
         @Test
-        fun `serves again once the faults are over`() = runBlocking<Unit> {
+        fun `acknowledges writes again after the faults have ended`() = runBlocking<Unit> {
             checkAll(runs, PropTestConfig(seed = seed), scenarios) { scenario ->
-                expectThat(run(scenario).acked.last().ackedAt).isGreaterThan(27.seconds)
+                expectThat(run(scenario).acknowledged.last().acknowledgedAt).isGreaterThan(27.seconds)
             }
         }
     }
 
-    /** The members lose each other but not the VMs, so that the first primary writes on until it is replaced. */
-    private fun runWithoutReplication(rules: Rules): GroupSimulation {
+    /** Cuts the links between members but not to the VMs, so that the primary takes writes until it is replaced. */
+    private fun runWithoutReplication(rules: ProtocolRules): GroupSimulation {
         val simulation = GroupSimulation(seed, 8.milliseconds, rules)
         simulation.nodes.forEach { it.writeEvery(40.milliseconds, 28.seconds) }
         simulation.runUntil(5.seconds)
@@ -69,42 +69,42 @@
     }
 
     @Nested
-    inner class `while no member hears another` {
+    inner class `while no member can reach another` {
         @Test
-        fun `acknowledges nothing and loses nothing`() {
-            val simulation = runWithoutReplication(Rules())
+        fun `acknowledges no write, loses none, and recovers afterwards`() {
+            val simulation = runWithoutReplication(ProtocolRules())
             expectThat(simulation.violations).isEmpty()
-            expectThat(simulation.acked.filter { it.ackedAt in 6.seconds..15.seconds }).isEmpty()
-            expectThat(simulation.acked.last().ackedAt).isGreaterThan(27.seconds)
+            expectThat(simulation.acknowledged.filter { it.acknowledgedAt in 6.seconds..15.seconds }).isEmpty()
+            expectThat(simulation.acknowledged.last().acknowledgedAt).isGreaterThan(27.seconds)
         }
     }
 
     @Nested
-    inner class `with a rule broken` {
+    inner class `with a broken protocol rule` {
         @Test
-        fun `notices the promotion of the member with the shortest log`() {
-            val lowest: ChooseMember = { accepted, _ -> accepted.minBy { it.lastEntry }.member }
-            expectThat(violationsOf(Rules(choose = lowest))).isNotEmpty()
+        fun `detects the promotion of the member with the shortest log`() {
+            val shortestLog: MemberSelector = { accepted, _ -> accepted.minBy { it.lastEntry }.member }
+            expectThat(violationsOf(ProtocolRules(choose = shortestLog))).isNotEmpty()
         }
 
         @Test
-        fun `notices confirmations without a check of the term`() {
-            val careless: ConfirmedPoint = { last, accepted -> HistoryPoint(accepted, last.position) }
-            expectThat(runWithoutReplication(Rules(confirmedPoint = careless)).violations).isNotEmpty()
+        fun `detects confirmations without a check of the term`() {
+            val withoutTermCheck: ConfirmedPoint = { last, accepted -> HistoryPoint(accepted, last.position) }
+            expectThat(runWithoutReplication(ProtocolRules(confirmedPoint = withoutTermCheck)).violations).isNotEmpty()
         }
 
         @Test
-        fun `notices acknowledgements without a replica`() {
-            expectThat(violationsOf(Rules(confirmationMajority = 1))).isNotEmpty()
+        fun `detects acknowledgements without a replica`() {
+            expectThat(violationsOf(ProtocolRules(confirmationMajority = 1))).isNotEmpty()
         }
 
         @Test
-        fun `notices ages proved by the primary alone`() {
-            expectThat(violationsOf(Rules(freshnessMajority = 1))).isNotEmpty()
+        fun `detects ages proved by the primary alone`() {
+            expectThat(violationsOf(ProtocolRules(freshnessMajority = 1))).isNotEmpty()
         }
     }
 
     private companion object {
-        const val PLANTED_RUNS = 60
+        const val BROKEN_RULE_RUNS = 60
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSimulation.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSimulation.kt
@@ -24,45 +24,54 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Rules that a run may break on purpose, to show that its checks notice. */
-data class Rules(
-    val choose: ChooseMember = ::mostComplete,
+/** Protocol rules, which a run can break on purpose to show that the checks detect it. */
+data class ProtocolRules(
+    val choose: MemberSelector = ::mostCompleteMember,
     val confirmedPoint: ConfirmedPoint = ::pointConfirmedBy,
     val confirmationMajority: Int = 2,
     val freshnessMajority: Int = 2,
     val incarnations: Boolean = true,
 )
 
-data class AckedWrite(
+/** A write that was acknowledged to its caller; [write] numbers it, and it committed at [point]. */
+data class AcknowledgedWrite(
     val write: Int,
     val point: HistoryPoint,
     val committedAt: Duration,
-    val ackedAt: Duration,
+    val acknowledgedAt: Duration,
     val vm: Int,
 )
 
-/** Virtual time, three members and as many coordinators, joined by links that lose, delay and duplicate messages. */
-class GroupSimulation(seed: Long, private val oneWay: Duration, private val rules: Rules = Rules(), vms: Int = 3) {
+/**
+ * Simulation in virtual time of a group of three members and the coordinators of its VMs, connected by links that lose,
+ * delay and duplicate messages. Broken guarantees are collected in [violations].
+ */
+class GroupSimulation(
+    seed: Long,
+    private val crossRegionLatency: Duration,
+    private val rules: ProtocolRules = ProtocolRules(),
+    vms: Int = 3,
+) {
     val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
     val members = listOf("a", "b", "c").map { FakeMember(MemberName(it)) }
-    val acked = mutableListOf<AckedWrite>()
+    val acknowledged = mutableListOf<AcknowledgedWrite>()
     val violations = mutableListOf<String>()
     val promotions = mutableListOf<Pair<Duration, HistoryPoint>>()
-    val cut = mutableSetOf<Pair<String, String>>()
-    val slow = mutableMapOf<String, Int>()
-    val frozenUntil = mutableMapOf<String, Duration>()
+    val blockedLinks = mutableSetOf<Pair<String, String>>()
+    val serviceTimeFactors = mutableMapOf<String, Int>()
+    val pausedUntil = mutableMapOf<String, Duration>()
     val refusing = mutableSetOf<String>()
-    val lag = mutableMapOf<String, Duration>()
-    var loss = 0.0
-    var duplicates = 0.0
+    val replicationLag = mutableMapOf<String, Duration>()
+    var lossRate = 0.0
+    var duplicateRate = 0.0
     var now: Duration = Duration.ZERO
         private set
     private val queue = PriorityQueue<Task>(compareBy<Task> { it.at }.thenBy { it.number })
     private var taskNumber = 0L
     private var writes = 0
     private val primaries = mutableMapOf<Term, MemberName>()
-    private val startLogs = mutableMapOf<Term, Set<Int>>()
-    private val majorityAt = mutableMapOf<Term, Duration>()
+    private val logsAtPromotion = mutableMapOf<Term, Set<Int>>()
+    private val majorityReachedAt = mutableMapOf<Term, Duration>()
     private val commits = mutableMapOf<Int, Duration>()
     private val proofs = mutableListOf<Pair<HistoryPoint, Duration>>()
     private val clock = object : Clock {
@@ -99,16 +108,16 @@
 
     fun primary(): FakeMember? = members.filter { it.role == MemberRole.PRIMARY }.maxByOrNull { it.acceptedTerm }
 
-    fun isolate(name: String, from: Collection<String> = everyone() - name) =
-        from.forEach { cut += setOf(name to it, it to name) }
+    fun isolate(name: String, from: Collection<String> = allNodeNames() - name) =
+        from.forEach { blockedLinks += setOf(name to it, it to name) }
 
-    fun heal() = cut.clear()
+    fun heal() = blockedLinks.clear()
 
-    fun everyone() = members.map { it.name.value } + nodes.map { it.name }
+    fun allNodeNames() = members.map { it.name.value } + nodes.map { it.name }
 
-    /** Checks what can only be judged at the end. */
+    /** Checks that data proved to be of some age held all writes acknowledged before, and returns all [violations]. */
     fun finish(): List<String> {
-        val byCommit = acked.sortedBy { it.committedAt }
+        val byCommit = acknowledged.sortedBy { it.committedAt }
         var next = 0
         var required = HistoryPoint.START
         proofs.sortedBy { it.second }.forEach { (point, provenAt) ->
@@ -129,37 +138,39 @@
     }
 
     private fun push(sender: FakeMember) {
-        if (sender.role != MemberRole.PRIMARY || isFrozen(sender.name.value)) return
+        if (sender.role != MemberRole.PRIMARY || isPaused(sender.name.value)) return
         val term = sender.acceptedTerm
         val entries = sender.log
         members.filter { it != sender }.forEach { replica ->
-            val behind = lag[replica.name.value] ?: Duration.ZERO
+            val lagOfReplica = replicationLag[replica.name.value] ?: Duration.ZERO
             send(sender.name.value, replica.name.value) {
-                replica.replicate(term, sender.name, shared(replica, entries), now)
+                replica.replicate(term, sender.name, sharedPrefix(replica, entries), now)
             }
-            at(now + behind) {
+            at(now + lagOfReplica) {
                 send(sender.name.value, replica.name.value) { replica.replicate(term, sender.name, entries, now) }
             }
         }
     }
 
-    /** A heartbeat without new entries: as much of the sender's log as the replica already has. */
-    private fun shared(replica: FakeMember, entries: FakeLog?) = entries?.let { replica.log?.common(it) }
+    /** The prefix of the sender's log that the replica already has, sent as a heartbeat without new entries. */
+    private fun sharedPrefix(replica: FakeMember, entries: FakeLog?) = entries?.let { replica.log?.commonPrefix(it) }
 
-    private fun isFrozen(name: String) = (frozenUntil[name] ?: Duration.ZERO) > now
+    private fun isPaused(name: String) = (pausedUntil[name] ?: Duration.ZERO) > now
 
     private fun send(from: String, to: String, deliver: () -> Unit) {
-        if (from to to in cut || random.nextDouble() < loss) return
-        val copies = if (random.nextDouble() < duplicates) 2 else 1
-        repeat(copies) { at(now + latency(from, to)) { whenAwake(to) { if (from to to !in cut) deliver() } } }
+        if (from to to in blockedLinks || random.nextDouble() < lossRate) return
+        val deliveries = if (random.nextDouble() < duplicateRate) 2 else 1
+        repeat(deliveries) {
+            at(now + latency(from, to)) { whenRunning(to) { if (from to to !in blockedLinks) deliver() } }
+        }
     }
 
-    private fun whenAwake(name: String, action: () -> Unit) {
-        if (isFrozen(name)) at(frozenUntil.getValue(name)) { whenAwake(name, action) } else action()
+    private fun whenRunning(name: String, action: () -> Unit) {
+        if (isPaused(name)) at(pausedUntil.getValue(name)) { whenRunning(name, action) } else action()
     }
 
     private fun latency(from: String, to: String): Duration {
-        val base = if (region(from) == region(to)) LOCAL_LATENCY else oneWay
+        val base = if (region(from) == region(to)) SAME_REGION_LATENCY else crossRegionLatency
         return base + (random.nextDouble() * base.inWholeMicroseconds * JITTER).toLong().microseconds
     }
 
@@ -167,28 +178,29 @@
 
     private fun promoted(member: FakeMember) {
         val term = member.acceptedTerm
-        val known = primaries[term]
-        if (known == member.name) return
-        if (known != null) violations += "term $term has two primaries, $known and ${member.name}"
+        val previousPrimary = primaries[term]
+        if (previousPrimary == member.name) return
+        if (previousPrimary != null) violations += "term $term has two primaries, $previousPrimary and ${member.name}"
         primaries[term] = member.name
         val log = member.log!!.writes()
-        startLogs[term] = log
+        logsAtPromotion[term] = log
         promotions += now to member.lastEntry
-        acked.filter { it.point.term < term }.forEach { checkKept(it, term, log) }
+        acknowledged.filter { it.point.term < term }.forEach { checkContainsWrite(it, term, log) }
     }
 
-    private fun noteMajority() = members.map { it.acceptedTerm }.distinct().forEach { term ->
-        if (members.count { it.acceptedTerm >= term } >= 2) majorityAt.getOrPut(term) { now }
+    private fun recordMajorityTerms() = members.map { it.acceptedTerm }.distinct().forEach { term ->
+        if (members.count { it.acceptedTerm >= term } >= 2) majorityReachedAt.getOrPut(term) { now }
     }
 
-    private fun acknowledge(write: AckedWrite) {
-        acked += write
-        startLogs.filterKeys { it > write.point.term }.forEach { (term, log) -> checkKept(write, term, log) }
-        val superseded = majorityAt.filterKeys { it > write.point.term }.values.minOrNull()
+    private fun acknowledge(write: AcknowledgedWrite) {
+        acknowledged += write
+        logsAtPromotion.filterKeys { it > write.point.term }
+            .forEach { (term, log) -> checkContainsWrite(write, term, log) }
+        val superseded = majorityReachedAt.filterKeys { it > write.point.term }.values.minOrNull()
         if (superseded != null && write.committedAt > superseded) violations += "superseded primary acknowledged $write"
     }
 
-    private fun checkKept(write: AckedWrite, term: Term, log: Set<Int>) {
+    private fun checkContainsWrite(write: AcknowledgedWrite, term: Term, log: Set<Int>) {
         if (write.write !in log) violations += "primary of term $term lacks acknowledged $write"
     }
 
@@ -196,12 +208,12 @@
 
     private data class Pending(val write: Int, val point: HistoryPoint, val primary: MemberName, val deadline: Duration)
 
-    /** One VM: a coordinator, its calls, and callers that write and read through it. */
+    /** One VM: its coordinator, the calls of that coordinator, and callers that write through the VM. */
     inner class Vm(private val index: Int) {
         val name = "vm$index"
         var rank: () -> Int = { index }
         var up = true
-        private var life = 0
+        private var incarnation = 0
         private var pending: List<Pending> = emptyList()
         private var wakeNumber = 0L
         private var events = 0
@@ -215,15 +227,15 @@
             boot()
         }
 
-        /** Starts a new process under the same name. */
+        /** Starts a new process of this VM; only the incarnation in its proposer name differs. */
         fun boot() {
-            life++
+            incarnation++
             up = true
             pending = emptyList()
             lastView = GroupView(database.name)
             confirmations = ConfirmationTracker(rules.confirmationMajority, clock, rules.confirmedPoint)
             freshness = FreshnessTracker(rules.freshnessMajority, clock)
-            val proposer = VmName(if (rules.incarnations) "$name/$life" else name)
+            val proposer = VmName(if (rules.incarnations) "$name/$incarnation" else name)
             coordinator = GroupCoordinator(
                 database,
                 proposer,
@@ -233,31 +245,31 @@
                 confirmations,
                 freshness,
                 choose = rules.choose,
-                writesWait = { pending.isNotEmpty() },
+                hasWaitingWrites = { pending.isNotEmpty() },
             )
         }
 
         fun writeEvery(interval: Duration, until: Duration) {
             if (now >= until) return
             at(now + interval) {
-                whenAwake(name) { write() }
+                whenRunning(name) { write() }
                 writeEvery(interval, until)
             }
         }
 
-        fun event(event: GroupEvent, bornIn: Int = life) {
-            if (!up || bornIn != life) return
+        fun event(event: GroupEvent, startedIn: Int = incarnation) {
+            if (!up || startedIn != incarnation) return
             val effects = coordinator.on(event, now)
             checkView()
-            settle()
-            effects.forEach { carryOut(it) }
+            resolvePending()
+            effects.forEach { execute(it) }
             val number = ++wakeNumber
             at(coordinator.nextWake(now)) {
-                whenAwake(name) {
+                whenRunning(name) {
                     if (number ==
                         wakeNumber
                     ) {
-                        event(GroupEvent.Tick, bornIn)
+                        event(GroupEvent.Tick, startedIn)
                     }
                 }
             }
@@ -270,17 +282,17 @@
                 violations += "view of $name went from $lastView to $view"
             }
             lastView = view
-            if (++events % EVENTS_PER_PROOF != 0) return
+            if (++events % EVENTS_PER_FRESHNESS_CHECK != 0) return
             view.points.values.forEach { point ->
                 freshness.provenAge(point, now)?.let { proofs += point to now - it }
             }
         }
 
-        private fun settle() {
+        private fun resolvePending() {
             pending = pending.filter { write ->
                 val confirmation = confirmations.confirmation(write.point, write.primary)
                 if (confirmation == Confirmation.CONFIRMED) {
-                    acknowledge(AckedWrite(write.write, write.point, commits.getValue(write.write), now, index))
+                    acknowledge(AcknowledgedWrite(write.write, write.point, commits.getValue(write.write), now, index))
                 }
                 confirmation == null && now < write.deadline
             }
@@ -291,7 +303,7 @@
             val primary = view.primary ?: return
             if (!up) return
             val number = ++writes
-            val born = life
+            val startedIn = incarnation
             val target = members.first { it.name == primary }
             send(name, primary.value) {
                 val point = target.write(view.term, number)
@@ -300,7 +312,7 @@
                     push(target)
                     val write = Pending(number, point, primary, now + WRITE_DEADLINE)
                     send(primary.value, name) {
-                        if (up && born == life) {
+                        if (up && startedIn == incarnation) {
                             pending = pending + write
                             event(GroupEvent.Tick)
                         }
@@ -309,7 +321,7 @@
             }
         }
 
-        private fun carryOut(effect: GroupEffect) {
+        private fun execute(effect: GroupEffect) {
             val sentAt = now
             when (effect) {
                 is GroupEffect.Probe -> call(effect.member, TIMING.probeTimeout, { it.report(now).right() }) {
@@ -325,7 +337,7 @@
                     call(effect.member, TIMING.callTimeout, { it.follow(effect.term, effect.primary, now) }) {
                         GroupEvent.FollowAnswered(effect.member, sentAt, it)
                     }
-                is GroupEffect.RequestContactReports -> askVantage(effect.primary)
+                is GroupEffect.RequestContactReports -> requestContactReports(effect.primary)
                 is GroupEffect.PublishPromotion, is GroupEffect.ViewChanged -> Unit
             }
         }
@@ -341,17 +353,17 @@
             run: (FakeMember) -> MemberAnswer,
             asEvent: (MemberAnswer) -> GroupEvent,
         ) {
-            val born = life
+            val startedIn = incarnation
             var open = true
             val finish = { answer: MemberAnswer ->
                 if (open) {
                     open = false
-                    event(asEvent(answer), born)
+                    event(asEvent(answer), startedIn)
                 }
             }
             val target = members.first { it.name == name }
             at(now + timeout) {
-                whenAwake(this.name) { finish(MemberFailure.NoAnswer(name, Step.PROBE, "timeout").left()) }
+                whenRunning(this.name) { finish(MemberFailure.NoAnswer(name, Step.PROBE, "timeout").left()) }
             }
             send(this.name, name.value) {
                 if (name.value in refusing) {
@@ -359,10 +371,10 @@
                         finish(MemberFailure.Unreachable(name, Step.CONNECT, "refused").left())
                     }
                 } else {
-                    at(now + SERVICE_TIME * (slow[name.value] ?: 1)) {
-                        whenAwake(name.value) {
+                    at(now + SERVICE_TIME * (serviceTimeFactors[name.value] ?: 1)) {
+                        whenRunning(name.value) {
                             val answer = run(target)
-                            noteMajority()
+                            recordMajorityTerms()
                             send(name.value, this.name) { finish(answer) }
                         }
                     }
@@ -370,8 +382,8 @@
             }
         }
 
-        private fun askVantage(primary: MemberName) {
-            val born = life
+        private fun requestContactReports(primary: MemberName) {
+            val startedIn = incarnation
             val reports = mutableListOf<MemberContactReport>()
             nodes.filter { it !== this }.forEach { other ->
                 send(name, other.name) {
@@ -382,18 +394,20 @@
                     }
                 }
             }
-            at(now + VANTAGE_TIMEOUT) { event(GroupEvent.ContactReportsReceived(primary, reports.toList()), born) }
+            at(now + CONTACT_REPORT_TIMEOUT) {
+                event(GroupEvent.ContactReportsReceived(primary, reports.toList()), startedIn)
+            }
         }
     }
 
     companion object {
         val TIMING = GroupTiming()
         val HEARTBEAT = 100.milliseconds
-        val LOCAL_LATENCY = 500.microseconds
+        val SAME_REGION_LATENCY = 500.microseconds
         val SERVICE_TIME = 1.milliseconds
         val WRITE_DEADLINE = 5.seconds
-        val VANTAGE_TIMEOUT = 200.milliseconds
+        val CONTACT_REPORT_TIMEOUT = 200.milliseconds
         const val JITTER = 0.2
-        const val EVENTS_PER_PROOF = 20
+        const val EVENTS_PER_FRESHNESS_CHECK = 20
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/LeavingPrimarySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/LeavingPrimarySpec.kt
@@ -19,11 +19,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 class LeavingPrimarySpec {
-    private val names = listOf("a", "b", "c").map { MemberName(it) }
-    private val members = names.map { MemberConfiguration(it, DataCentre("mendoza-a"), "10.0.0.1:1", 3, 20) }
+    private val memberNames = listOf("a", "b", "c").map { MemberName(it) }
+    private val members = memberNames.map { MemberConfiguration(it, DataCentre("mendoza-a"), "10.0.0.1:1", 3, 20) }
     private val database = DatabaseConfiguration(DatabaseName("inventory"), members)
     private val detector = FailureDetector(database, GroupTiming())
-    private val view = GroupView(database.name, Term(1), names[0])
+    private val view = GroupView(database.name, Term(1), memberNames[0])
     private val now = 5.seconds
 
     private fun observe(member: MemberName, contactAge: Duration?) {
@@ -33,28 +33,28 @@
     }
 
     private fun observeAll(replicaContactAge: Duration = 10.milliseconds) {
-        observe(names[0], null)
-        names.drop(1).forEach { observe(it, replicaContactAge) }
+        observe(memberNames[0], null)
+        memberNames.drop(1).forEach { observe(it, replicaContactAge) }
     }
 
     @Test
-    fun `hands over to the members that stay, both of which must accept the term`() {
+    fun `is replaced by one of the remaining members, both of which must accept the term`() {
         observeAll()
-        expectThat(detector.verdict(view, now, setOf(names[0])))
-            .isEqualTo(PrimaryVerdict.Lost(LossReason.LEAVING, setOf(names[1], names[2])))
+        expectThat(detector.verdict(view, now, setOf(memberNames[0])))
+            .isEqualTo(PrimaryVerdict.Lost(LossReason.LEAVING, setOf(memberNames[1], memberNames[2])))
     }
 
     @Test
-    fun `stays while too few of the others follow it`() {
+    fun `is kept while too few of the remaining members follow it`() {
         observeAll()
-        expectThat(detector.verdict(view, now, setOf(names[0], names[1]))).isEqualTo(PrimaryVerdict.Healthy)
+        expectThat(detector.verdict(view, now, setOf(memberNames[0], memberNames[1]))).isEqualTo(PrimaryVerdict.Healthy)
         observeAll(replicaContactAge = 700.milliseconds)
-        expectThat(detector.verdict(view, now, setOf(names[0]))).isEqualTo(PrimaryVerdict.Healthy)
+        expectThat(detector.verdict(view, now, setOf(memberNames[0]))).isEqualTo(PrimaryVerdict.Healthy)
     }
 
     @Test
-    fun `is not moved because a replica leaves`() {
+    fun `is kept when a replica leaves`() {
         observeAll()
-        expectThat(detector.verdict(view, now, setOf(names[2]))).isEqualTo(PrimaryVerdict.Healthy)
+        expectThat(detector.verdict(view, now, setOf(memberNames[2]))).isEqualTo(PrimaryVerdict.Healthy)
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/RandomFaults.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/RandomFaults.kt
@@ -3,49 +3,49 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Draws faults from the random numbers of [simulation] and ends each of them after a while. */
+/** Schedules random faults in [simulation], each of random duration, from its seeded random numbers. */
 class RandomFaults(private val simulation: GroupSimulation) {
     private val random = simulation.random
 
     fun schedule(from: Duration, until: Duration) {
         var time = from
         while (time < until) {
-            val lasting = (200 + random.nextInt(4_000)).milliseconds
-            val end = minOf(time + lasting, until)
+            val duration = (200 + random.nextInt(4_000)).milliseconds
+            val end = minOf(time + duration, until)
             simulation.at(time) { begin(end) }
             time += (100 + random.nextInt(2_500)).milliseconds
         }
         simulation.at(until) { healAll() }
     }
 
-    private fun begin(end: Duration) = when (random.nextInt(FAULTS)) {
+    private fun begin(end: Duration) = when (random.nextInt(FAULT_KINDS)) {
         0 -> isolatePrimary(end)
-        1 -> isolate(anyOf(simulation.everyone()), end)
-        2 -> cutOneWay(anyOf(simulation.everyone()), anyOf(simulation.everyone()), end)
-        3 -> simulation.frozenUntil[anyOf(simulation.everyone())] = end
+        1 -> isolate(pickOne(simulation.allNodeNames()), end)
+        2 -> cutOneWay(pickOne(simulation.allNodeNames()), pickOne(simulation.allNodeNames()), end)
+        3 -> simulation.pausedUntil[pickOne(simulation.allNodeNames())] = end
         4 -> loseMessages(end)
-        5 -> anyOf(simulation.members).restart()
-        6 -> restartVm(anyOf(simulation.nodes), end)
-        7 -> lag(anyOf(simulation.members).name.value, end)
+        5 -> pickOne(simulation.members).restart()
+        6 -> restartVm(pickOne(simulation.nodes), end)
+        7 -> lag(pickOne(simulation.members).name.value, end)
         else -> simulation.primary()?.let { slowDown(it.name.value, end) } ?: Unit
     }
 
     private fun isolatePrimary(end: Duration) = simulation.primary()?.let { isolate(it.name.value, end) } ?: Unit
 
     private fun isolate(name: String, end: Duration) {
-        val others = (simulation.everyone() - name).filter { random.nextInt(4) > 0 }
+        val others = (simulation.allNodeNames() - name).filter { random.nextInt(4) > 0 }
         simulation.isolate(name, others)
-        simulation.at(end) { others.forEach { simulation.cut -= setOf(name to it, it to name) } }
+        simulation.at(end) { others.forEach { simulation.blockedLinks -= setOf(name to it, it to name) } }
     }
 
     private fun cutOneWay(from: String, to: String, end: Duration) {
-        simulation.cut += from to to
-        simulation.at(end) { simulation.cut -= from to to }
+        simulation.blockedLinks += from to to
+        simulation.at(end) { simulation.blockedLinks -= from to to }
     }
 
     private fun loseMessages(end: Duration) {
-        simulation.loss = 0.05 + random.nextDouble() * 0.3
-        simulation.duplicates = 0.2
+        simulation.lossRate = 0.05 + random.nextDouble() * 0.3
+        simulation.duplicateRate = 0.2
         simulation.at(end) { healLoss() }
     }
 
@@ -58,18 +58,18 @@
     }
 
     private fun lag(name: String, end: Duration) {
-        simulation.lag[name] = (random.nextInt(3_000)).milliseconds
-        simulation.at(end) { simulation.lag -= name }
+        simulation.replicationLag[name] = (random.nextInt(3_000)).milliseconds
+        simulation.at(end) { simulation.replicationLag -= name }
     }
 
     private fun slowDown(name: String, end: Duration) {
-        simulation.slow[name] = 20
-        simulation.at(end) { simulation.slow -= name }
+        simulation.serviceTimeFactors[name] = 20
+        simulation.at(end) { simulation.serviceTimeFactors -= name }
     }
 
     private fun healLoss() {
-        simulation.loss = 0.0
-        simulation.duplicates = 0.0
+        simulation.lossRate = 0.0
+        simulation.duplicateRate = 0.0
     }
 
     private fun healAll() {
@@ -77,9 +77,9 @@
         healLoss()
     }
 
-    private fun <T> anyOf(all: List<T>): T = all[random.nextInt(all.size)]
+    private fun <T> pickOne(all: List<T>): T = all[random.nextInt(all.size)]
 
     private companion object {
-        const val FAULTS = 9
+        const val FAULT_KINDS = 9
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/LedgerConcurrencySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/TrackerConcurrencySpec.kt
@@ -10,33 +10,33 @@
 import org.junit.jupiter.api.Test
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The shared tables behave under concurrent use as if their operations ran one after the other. */
-class LedgerConcurrencySpec {
+/** Checks that the trackers, which several threads share, are linearizable. */
+class TrackerConcurrencySpec {
     class Confirmations {
-        private val ledger = ConfirmationTracker(majority = 2, clock = SystemClock)
+        private val tracker = ConfirmationTracker(majority = 2, clock = SystemClock)
 
         @Operation
         fun observe(replica: Boolean, term: Int, position: Int) {
             val last = HistoryPoint(Term(term.toLong()), LogPosition(position.toLong()))
-            ledger.observe(MemberName(if (replica) "b" else "c"), last, last.term)
+            tracker.observe(MemberName(if (replica) "b" else "c"), last, last.term)
         }
 
         @Operation
         fun confirmation(term: Int, position: Int): String {
             val point = HistoryPoint(Term(term.toLong()), LogPosition(position.toLong()))
-            return ledger.confirmation(point, MemberName("a")).toString()
+            return tracker.confirmation(point, MemberName("a")).toString()
         }
     }
 
     class Freshness {
-        private val ledger = FreshnessTracker(majority = 1, clock = SystemClock)
+        private val tracker = FreshnessTracker(majority = 1, clock = SystemClock)
 
         @Operation
         fun observe(replica: Boolean, term: Int, sentAt: Int) =
-            ledger.observeTerm(MemberName(if (replica) "b" else "c"), Term(term.toLong()), sentAt.milliseconds)
+            tracker.observeTerm(MemberName(if (replica) "b" else "c"), Term(term.toLong()), sentAt.milliseconds)
 
         @Operation
-        fun standing(since: Int): String = ledger.standing(since.milliseconds).toString()
+        fun majorityPrimary(since: Int): String = tracker.majorityPrimary(since.milliseconds).toString()
     }
 
     private fun options() = StressOptions()
@@ -49,7 +49,7 @@
     fun `confirmations are linearizable`() = options().check(Confirmations::class)
 
     @Test
-    fun `standings are linearizable`() = options().check(Freshness::class)
+    fun `observed primaries are linearizable`() = options().check(Freshness::class)
 
     private companion object {
         const val ITERATIONS = 10
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/duty/DutyLeaseSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/duty/DutyLeaseSpec.kt
@@ -13,7 +13,7 @@
 class DutyLeaseSpec {
     private val lease = DutyLease("self", 3.seconds)
 
-    private fun take(at: Duration = 0.seconds) {
+    private fun acquire(at: Duration = 0.seconds) {
         val step = lease.observe(null, at) as LeaseStep.Write
         lease.recordWrite(step.record, at)
     }
@@ -21,12 +21,12 @@
     @Nested
     inner class `a lease` {
         @Test
-        fun `is taken where there is none`() {
+        fun `is acquired if there is no record`() {
             expectThat(lease.observe(null, 0.seconds)).isEqualTo(LeaseStep.Write(DutyRecord("self", 1, 0)))
         }
 
         @Test
-        fun `of another holder is taken with a higher token once it stays unchanged`() {
+        fun `of another holder is taken over with a higher token once its record has stayed unchanged`() {
             val record = DutyRecord("other", 7, 3)
             expectThat(lease.observe(record, 0.seconds)).isA<LeaseStep.Wait>()
             expectThat(lease.observe(record, 3.seconds)).isA<LeaseStep.Wait>()
@@ -34,13 +34,13 @@
         }
 
         @Test
-        fun `that is renewed is left alone`() {
+        fun `that another holder renews is not taken over`() {
             lease.observe(DutyRecord("other", 7, 3), 0.seconds)
             expectThat(lease.observe(DutyRecord("other", 7, 4), 3_500.milliseconds)).isA<LeaseStep.Wait>()
         }
 
         @Test
-        fun `that was given up is taken at once`() {
+        fun `that was released is acquired at once`() {
             expectThat(
                 lease.observe(DutyRecord("", 7, 3), 0.seconds),
             ).isEqualTo(LeaseStep.Write(DutyRecord("self", 8, 4)))
@@ -50,15 +50,15 @@
     @Nested
     inner class `a holder` {
         @Test
-        fun `stops before another one may take over, counted from the sending of the renewal`() {
-            take()
+        fun `stops acting before a takeover is possible, counted from the sending of the renewal`() {
+            acquire()
             expectThat(lease.fencingTokenAt(2_399.milliseconds)).isEqualTo(1)
             expectThat(lease.fencingTokenAt(2_400.milliseconds)).isNull()
         }
 
         @Test
-        fun `stops as soon as it sees another holder`() {
-            take()
+        fun `stops acting as soon as it observes another holder`() {
+            acquire()
             lease.observe(DutyRecord("other", 2, 1), 100.milliseconds)
             expectThat(lease.fencingTokenAt(200.milliseconds)).isNull()
             expectThat(lease.renewedRecord()).isNull()
@@ -66,13 +66,13 @@
 
         @Test
         fun `fences off its own earlier orders with a higher token`() {
-            take()
+            acquire()
             expectThat(lease.advancedRecord()).isEqualTo(DutyRecord("self", 2, 1))
         }
 
         @Test
-        fun `that gives the duty up may act no more`() {
-            take()
+        fun `stops acting after releasing the lease`() {
+            acquire()
             lease.recordWrite(checkNotNull(lease.releasedRecord()), 100.milliseconds)
             expectThat(lease.fencingTokenAt(200.milliseconds)).isNull()
         }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/history/HistoryPointSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/history/HistoryPointSpec.kt
@@ -12,7 +12,7 @@
     @Nested
     inner class `within one term` {
         @Test
-        fun `covers a lower and the same position`() {
+        fun `covers lower positions and its own`() {
             expectThat(point(3, 10).covers(point(3, 9))).isTrue()
             expectThat(point(3, 10).covers(point(3, 10))).isTrue()
         }
@@ -26,7 +26,7 @@
     @Nested
     inner class `across terms` {
         @Test
-        fun `covers whatever an earlier term confirmed`() {
+        fun `covers every point of an earlier term`() {
             expectThat(point(4, 7).covers(point(3, 99))).isTrue()
         }
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/idempotency/IdempotencyRecordSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/idempotency/IdempotencyRecordSpec.kt
@@ -28,20 +28,20 @@
     @Nested
     inner class `a record` {
         @Test
-        fun `gives the first answer to the same work`() {
+        fun `returns the first answer for the same work`() {
             val record = recordOf(IdempotencyRecord.insert(team, key, work, now), answer)
             expectThat(IdempotencyRecord.lookup(record, work)).isEqualTo(RecordLookup.SameWork(answer))
         }
 
         @Test
-        fun `is that of other work when a statement or a parameter differs`() {
+        fun `reports other work if a statement or a parameter differs`() {
             val record = recordOf(IdempotencyRecord.insert(team, key, work, now), answer)
             val other = listOf(work.single().copy(parameters = listOf(SqlValue.Integer(51))))
             expectThat(IdempotencyRecord.lookup(record, other)).isEqualTo(RecordLookup.OtherWork)
         }
 
         @Test
-        fun `without an answer stands for an abandoned key`() {
+        fun `without an answer marks an abandoned key`() {
             val record = recordOf(IdempotencyRecord.abandon(team, key, now), null)
             expectThat(IdempotencyRecord.lookup(record, work)).isEqualTo(RecordLookup.Abandoned)
         }
@@ -52,7 +52,7 @@
         }
 
         @Test
-        fun `of one team is not that of another with the same key`() {
+        fun `has a different record key for another team with the same idempotency key`() {
             val other = TeamName("parishes")
             expectThat(IdempotencyRecord.select(team, key).parameters)
                 .isNotEqualTo(IdempotencyRecord.select(other, key).parameters)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    fun `outdated records are those older than the retention`() {
+    fun `deletes records older than the retention as outdated`() {
         val limit = IdempotencyRecord.deleteOutdated(now).parameters.single()
         val expected = now.toEpochMilli() - IdempotencyRecord.RETENTION.inWholeMilliseconds
         expectThat(limit).isEqualTo(SqlValue.Integer(expected))
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/session/TokenCodecSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/session/TokenCodecSpec.kt
@@ -49,7 +49,7 @@
     @Nested
     inner class `round trip` {
         @Test
-        fun `gives every token back, seed printed on failure`() {
+        fun `decodes every encoded token to an equal one`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = seed, iterations = 500), tokens) { token ->
                     expectThat(codec.decode(codec.encode(token), token.team)).isEqualTo(token.right())
@@ -58,7 +58,7 @@
         }
 
         @Test
-        fun `writes the same text for the same token`() {
+        fun `encodes equal tokens as the same text`() {
             val reordered = token.copy(points = token.points.toSortedMap(reverseOrder()))
             expectThat(codec.encode(reordered)).isEqualTo(codec.encode(token))
         }
@@ -70,9 +70,9 @@
     }
 
     @Nested
-    inner class `refused texts` {
+    inner class `rejected texts` {
         @Test
-        fun `any flipped bit is refused`() {
+        fun `a text with any bit flipped is rejected`() {
             val text = codec.encode(token)
             text.indices.forEach { index ->
                 repeat(7) { bit ->
@@ -83,13 +83,13 @@
         }
 
         @Test
-        fun `any shortened text is refused`() {
+        fun `any truncated text is rejected`() {
             val text = codec.encode(token)
             text.indices.forEach { expectThat(codec.decode(text.take(it), pesebre).isLeft()).isEqualTo(true) }
         }
 
         @Test
-        fun `random texts are refused and never break the codec`() {
+        fun `random texts are rejected without an exception`() {
             runBlocking {
                 checkAll(PropTestConfig(seed = seed, iterations = 2_000), Arb.string(0..200)) { text ->
                     expectThat(codec.decode(text, pesebre).isLeft()).isEqualTo(true)
@@ -98,23 +98,23 @@
         }
 
         @Test
-        fun `a token of another key is forged`() {
+        fun `a token of another key counts as forged`() {
             expectThat(codec.decode(TokenCodec(otherKey).encode(token), pesebre)).isEqualTo(TokenFailure.Forged.left())
         }
 
         @Test
-        fun `a token of another team is refused`() {
+        fun `a token of another team is rejected`() {
             expectThat(codec.decode(codec.encode(token), TeamName("nile")))
                 .isEqualTo(TokenFailure.OtherTeam.left())
         }
 
         @Test
-        fun `an oversized text is refused unread`() {
+        fun `an oversized text is rejected without decoding`() {
             expectThat(codec.decode("A".repeat(70_000), pesebre)).isEqualTo(TokenFailure.TooLarge.left())
         }
 
         @Test
-        fun `a token is no transaction handle`() {
+        fun `a token is not accepted as a transaction handle`() {
             expectThat(TransactionHandleCodec(key).decode(codec.encode(token), pesebre).isLeft()).isEqualTo(true)
         }
     }
@@ -122,14 +122,14 @@
     @Nested
     inner class `key rotation` {
         @Test
-        fun `reads the texts of the previous key and writes with the current one`() {
+        fun `decodes texts of the previous key and encodes with the current one`() {
             val rotated = TokenCodec(otherKey, previousKey = key)
             expectThat(rotated.decode(codec.encode(token), pesebre)).isEqualTo(token.right())
             expectThat(rotated.encode(token)).isNotEqualTo(codec.encode(token))
         }
 
         @Test
-        fun `a short key is refused at start`() {
+        fun `a short key is rejected by the constructor`() {
             expectThrows<IllegalArgumentException> { TokenCodec(ByteArray(15)) }
         }
     }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/time/SuspensionAwareClockSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/time/SuspensionAwareClockSpec.kt
@@ -8,42 +8,42 @@
 import kotlin.time.Duration.Companion.seconds
 
 class SuspensionAwareClockSpec {
-    private var steadyNanos = 1_000_000_000L
-    private var calendarMillis = 50_000L
-    private val clock = SuspensionAwareClock({ steadyNanos }, { calendarMillis })
+    private var monotonicNanos = 1_000_000_000L
+    private var wallClockMillis = 50_000L
+    private val clock = SuspensionAwareClock({ monotonicNanos }, { wallClockMillis })
 
-    private fun run(millis: Long) {
-        steadyNanos += millis * 1_000_000
-        calendarMillis += millis
+    private fun advance(millis: Long) {
+        monotonicNanos += millis * 1_000_000
+        wallClockMillis += millis
     }
 
     @Nested
     inner class `elapsed time` {
         @Test
-        fun `is that of the steady clock while the VM runs`() {
-            run(500)
+        fun `equals the monotonic clock while the VM runs`() {
+            advance(500)
             expectThat(clock.elapsed()).isEqualTo(1_500.milliseconds)
         }
 
         @Test
-        fun `counts a suspension, which the steady clock leaves out`() {
-            calendarMillis += 4_000
-            run(10)
+        fun `includes a suspension, which the monotonic clock omits`() {
+            wallClockMillis += 4_000
+            advance(10)
             expectThat(clock.elapsed()).isEqualTo(5_010.milliseconds)
         }
 
         @Test
-        fun `does not go back with the calendar clock`() {
-            calendarMillis -= 3_000
-            run(10)
+        fun `does not go back when the wall clock is set back`() {
+            wallClockMillis -= 3_000
+            advance(10)
             expectThat(clock.elapsed()).isEqualTo(1_010.milliseconds)
         }
 
         @Test
-        fun `counts a suspension after the calendar clock was set back`() {
-            calendarMillis -= 3_000
+        fun `includes a suspension after the wall clock was set back`() {
+            wallClockMillis -= 3_000
             clock.elapsed()
-            calendarMillis += 2_000
+            wallClockMillis += 2_000
             expectThat(clock.elapsed()).isEqualTo(3.seconds)
         }
     }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/transaction/TransactionHandleCodecSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/transaction/TransactionHandleCodecSpec.kt
@@ -26,20 +26,20 @@
         )
 
     @Test
-    fun `gives the reference back`() {
+    fun `decodes an encoded reference to an equal one`() {
         expectThat(codec.decode(codec.encode(reference), team)).isEqualTo(reference.right())
     }
 
     @Test
-    fun `reads the handles of the previous key`() {
+    fun `decodes handles of the previous key`() {
         val rotated = TransactionHandleCodec(otherKey, previousKey = key)
         expectThat(rotated.decode(codec.encode(reference), team)).isEqualTo(reference.right())
     }
 
     @Nested
-    inner class `refused texts` {
+    inner class `rejected texts` {
         @Test
-        fun `any flipped bit is refused`() {
+        fun `a text with any bit flipped is rejected`() {
             val text = codec.encode(reference)
             text.indices.forEach { index ->
                 repeat(7) { bit ->
@@ -50,19 +50,19 @@
         }
 
         @Test
-        fun `another team's handle is refused`() {
+        fun `a handle of another team is rejected`() {
             expectThat(codec.decode(codec.encode(reference), TeamName("pesebre")))
                 .isEqualTo(HandleFailure.OtherTeam.left())
         }
 
         @Test
-        fun `a handle of another key is forged`() {
+        fun `a handle of another key counts as forged`() {
             expectThat(TransactionHandleCodec(otherKey).decode(codec.encode(reference), team))
                 .isEqualTo(HandleFailure.Forged.left())
         }
 
         @Test
-        fun `an oversized handle is refused unread`() {
+        fun `an oversized handle is rejected without decoding`() {
             expectThat(codec.decode("A".repeat(3_000), team)).isEqualTo(HandleFailure.TooLarge.left())
         }
     }
