--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecision.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecision.kt
@@ -39,7 +39,7 @@
 public data class FailoverOrder(val candidate: MemberName, val received: HistoryPoint, val reason: FailoverReason)
 
 /**
- * Decides when one group needs a new primary, and promotes the reachable replica with the longest log.
+ * Decides when one group needs a new primary and which member to promote: the reachable replica with the longest log.
  *
  * Confined to one thread.
  */
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/seal/MessageSeal.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/seal/MessageSeal.kt
@@ -74,7 +74,7 @@
 
     private fun keyOf(key: ByteArray): SecretKeySpec {
         require(key.size >= MINIMUM_KEY_BYTES) {
-            "the key has ${key.size} bytes, at least $MINIMUM_KEY_BYTES are needed"
+            "the key has ${key.size} bytes, but at least $MINIMUM_KEY_BYTES are required"
         }
         return SecretKeySpec(key, ALGORITHM)
     }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupFailoverSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupFailoverSpec.kt
@@ -53,10 +53,8 @@
                 } - primary,
             )
             Loss.CUT_OFF_FROM_VMS -> simulation.isolate(primary, simulation.nodes.map { it.name })
-            Loss.ONLY_SENDING_LOST -> (simulation.allNodeNames() - primary).forEach {
-                simulation.blockedLinks +=
-                    primary to it
-            }
+            Loss.ONLY_SENDING_LOST ->
+                (simulation.allNodeNames() - primary).forEach { simulation.blockedLinks += primary to it }
             Loss.ISOLATED_WITH_ITS_VM -> {
                 simulation.isolate(primary)
                 vm.up = false
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/RandomFaults.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/RandomFaults.kt
@@ -26,7 +26,7 @@
         4 -> loseMessages(end)
         5 -> pickOne(simulation.members).restart()
         6 -> restartVm(pickOne(simulation.nodes), end)
-        7 -> lag(pickOne(simulation.members).name.value, end)
+        7 -> delayReplication(pickOne(simulation.members).name.value, end)
         else -> simulation.primary()?.let { slowDown(it.name.value, end) } ?: Unit
     }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    private fun lag(name: String, end: Duration) {
+    private fun delayReplication(name: String, end: Duration) {
         simulation.replicationLag[name] = (random.nextInt(3_000)).milliseconds
         simulation.at(end) { simulation.replicationLag -= name }
     }
