--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/MemberHosts.kt
@@ -54,7 +54,7 @@
     /** Returns the longest time since the last answer of any member of [database] to this VM. */
     fun longestSilence(database: DatabaseName): Duration {
         val group = lock.withLock { groups[database] } ?: return Duration.ZERO
-        return group.memberNames.mapNotNull { group.runner.vantage(it).heardAgo }.maxOrNull() ?: Duration.ZERO
+        return group.memberNames.mapNotNull { group.runner.vantage(it).lastResponseAge }.maxOrNull() ?: Duration.ZERO
     }
 
     /** Interrupts the work at members of [database] that this VM treated as its primary and that are not [primary]. */
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -9,7 +9,7 @@
 import dev.kumquatknot.core.configuration.MemberConfiguration
 import dev.kumquatknot.core.databasegroup.GroupTiming
 import dev.kumquatknot.core.databasegroup.GroupView
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -283,14 +283,14 @@
         }
     }
 
-    private fun requestVantageReports(database: DatabaseName, member: MemberName): List<VantageReport> {
+    private fun requestVantageReports(database: DatabaseName, member: MemberName): List<MemberContactReport> {
         val configured = holder.current.database(database) ?: return emptyList()
         val gateways = configured.members.mapNotNull { gatewayAssignment.gateway(it) }
         val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(REMOTE_VANTAGE_COUNT)
         val queried = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
         return queried.mapNotNull { peer ->
             dependencies.peers.memberObservation(peer, database, member, VANTAGE_TIMEOUT)
-                .fold({ null }, { VantageReport(peer.name, it.sinceLastResponse) })
+                .fold({ null }, { MemberContactReport(peer.name, it.sinceLastResponse) })
         }
     }
 
@@ -333,7 +333,7 @@
             PeerConfiguration(holder.current.takeIf { it.number > known }, dependencies.sessionKeys)
 
         override fun memberObservation(database: DatabaseName, member: MemberName): MemberObservation {
-            val lastAnswerAge = hosts.runner(database)?.vantage(member)?.heardAgo
+            val lastAnswerAge = hosts.runner(database)?.vantage(member)?.lastResponseAge
             if (lastAnswerAge != null) return MemberObservation(lastAnswerAge, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
