--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Admission.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Admission.kt
@@ -3,7 +3,7 @@
 import dev.kumquatknot.core.configuration.Rank
 import kotlin.time.Duration
 
-/** Place of a [WorkItem] in an [AdmissionQueue]. It is given back exactly once, by a release or a cancellation. */
+/** Place of a [WorkItem] in an [AdmissionQueue]. It is released or cancelled exactly once. */
 public class Ticket internal constructor(
     public val item: WorkItem,
     internal val flow: Flow,
@@ -21,34 +21,34 @@
     ENDED,
 }
 
-/** Why an item was refused; it did not run. */
+/** Why an [AdmissionQueue] refused an item, which did not run. */
 public enum class RefusalReason {
-    /** The deadline cannot be met, given the work ahead and the measured service time. */
+    /** The deadline cannot be met, given the work queued ahead and the measured service time. */
     DEADLINE_UNREACHABLE,
 
-    /** The kind has had a standing queue for some time and takes in no more than it can answer on target. */
+    /** The kind has a standing queue, and the item could not be answered within its share of the target. */
     OVERLOADED,
 
-    /** The deadline went by while the item waited. */
+    /** A waiting item could no longer finish before its deadline. */
     DEADLINE_PASSED,
 }
 
 /** Result of offering an item to an [AdmissionQueue]. */
 public sealed interface Admission {
-    /** The item holds a slot and runs now. */
+    /** The item holds a slot and may run now. */
     public data class Granted(val ticket: Ticket) : Admission
 
-    /** The item waits for a slot, for about [expectedWait]. */
+    /** The item is queued and is expected to get a slot after [expectedWait]. */
     public data class Queued(val ticket: Ticket, val expectedWait: Duration) : Admission
 
-    /** The item did not and will not run; the caller may come back after [retryAfter]. */
+    /** The item was not admitted and does not run; the caller may retry after [retryAfter]. */
     public data class Refused(val reason: RefusalReason, val retryAfter: Duration) : Admission
 }
 
 /** A waiting item that was refused before it ran. */
 public data class ExpiredTicket(val ticket: Ticket, val refusal: Admission.Refused)
 
-/** What a change of an [AdmissionQueue] did to waiting items. */
+/** The waiting items that an operation on an [AdmissionQueue] granted a slot or refused. */
 public data class QueueChanges(val granted: List<Ticket>, val expired: List<ExpiredTicket>) {
     public companion object {
         /** No waiting item was affected. */
@@ -57,12 +57,12 @@
 }
 
 /**
- * Load of one member as its queue sees it.
+ * Load of one member, taken from its [AdmissionQueue].
  *
- * @property limit statements that may run at the same time now.
- * @property queued waiting items per rank.
+ * @property limit current limit of statements that run at the same time.
+ * @property queued number of waiting items per rank.
  * @property serviceTime moving average of the time that a statement holds a slot.
- * @property wait moving average of the time that an admitted item waited for its slot.
+ * @property wait moving average of the time from an item's offer until it was granted a slot.
  */
 public data class QueueLoad(
     val limit: Int,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/AdmissionQueue.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/AdmissionQueue.kt
@@ -9,21 +9,22 @@
 import kotlin.time.DurationUnit
 
 /**
- * Admission of work to the slots of one member.
+ * Admits work to the slots of one member.
  *
- * Urgent work goes first, each kind keeps its floor, and kinds of one rank share slot time fairly. The queue is bounded
- * by time: an item that cannot meet its deadline, given the measured service time and the work ahead, is refused when
- * it is offered or as soon as that shows. No slot idles while an item waits.
+ * With the default policy, urgent work is scheduled first, each kind gets at least its floor of the slot time, and
+ * kinds of one rank share slot time fairly. The queue is bounded by time instead of length: an item that cannot meet
+ * its deadline, given the measured service time and the work ahead, is refused when it is offered or as soon as that is
+ * known. No slot below the concurrency limit is idle while an item waits.
  *
- * Not safe for use by several threads at once. [Ticket]s belong to the queue that gave them.
+ * Not thread-safe. A [Ticket] may only be passed to the queue that issued it.
  *
- * @param slots statements that the member runs at the same time.
+ * @param slots number of statements that the member runs at the same time.
  */
 public class AdmissionQueue(slots: Int, private val policy: AdmissionPolicy = AdmissionPolicy()) {
     private val flows = LinkedHashMap<FlowKey, Flow>()
-    private val rankClock = FairClock<Rank>()
-    private val teamClock = FairClock<Pair<Rank, TeamName>>()
-    private val kindClock = FairClock<Triple<Rank, TeamName, KindName>>()
+    private val rankClock = FairQueueingClock<Rank>()
+    private val teamClock = FairQueueingClock<Pair<Rank, TeamName>>()
+    private val kindClock = FairQueueingClock<Triple<Rank, TeamName, KindName>>()
     private val usage = Rank.entries.associateWith { UsageRate(policy.usageWindow) }
     private val service = DurationAverage(policy.serviceTimeWeight, policy.initialServiceTime)
     private val wait = DurationAverage(policy.serviceTimeWeight, Duration.ZERO)
@@ -31,7 +32,7 @@
     private var inFlight = 0
     private var queued = 0
 
-    /** Offers [item]: it runs now, waits, or is refused without running. */
+    /** Grants [item] a slot, queues it, or refuses it without running it. */
     public fun offer(item: WorkItem, now: Duration): Admission {
         val flow = flowOf(item)
         val expected = flow.expectedService(item)
@@ -40,20 +41,21 @@
             return Admission.Granted(start(Ticket(item, flow, now, expected), now))
         }
         val expectedWait = expectedWait(flow, now)
-        val answer = expectedWait + expected
-        if (now + answer > item.deadline) {
-            return refusal(RefusalReason.DEADLINE_UNREACHABLE, now + answer - item.deadline)
+        val expectedResponse = expectedWait + expected
+        if (now + expectedResponse > item.deadline) {
+            return refusal(RefusalReason.DEADLINE_UNREACHABLE, now + expectedResponse - item.deadline)
         }
-        val bound = item.target * policy.standingShare
-        if (flow.standing(answer, bound, policy.standingInterval, now)) {
-            return refusal(RefusalReason.OVERLOADED, answer - bound)
+        val targetShare = item.target * policy.standingQueueTargetShare
+        if (flow.recordExpectedResponse(expectedResponse, targetShare, policy.standingQueueInterval, now)) {
+            return refusal(RefusalReason.OVERLOADED, expectedResponse - targetShare)
         }
         return Admission.Queued(enqueue(Ticket(item, flow, now, expected), now), expectedWait)
     }
 
     /**
-     * Gives the slot of a granted [ticket] back after [serviceTime]; [answered] is false where the member stayed
-     * silent. Returns the items that run now and those that are refused.
+     * Releases the slot of a granted [ticket] after [serviceTime] and updates the concurrency limit; [answered] is
+     * false if the member did not respond. Returns the waiting items that are granted a slot and those that are
+     * refused.
      */
     public fun release(
         ticket: Ticket,
@@ -65,38 +67,38 @@
         ticket.state = TicketState.ENDED
         val saturated = inFlight >= limit.current
         inFlight--
-        settle(ticket, now, serviceTime)
-        val slowdown = ticket.flow.measure(serviceTime, ticket.item.cost) ?: limit.slowdown
+        chargeServiceTime(ticket, now, serviceTime)
+        val slowdown = ticket.flow.recordServiceTime(serviceTime, ticket.item.cost) ?: limit.slowdown
         service.add(serviceTime)
         limit = policy.adjustLimit(limit, ServiceSample(slowdown, answered, saturated))
         return dispatch(now)
     }
 
-    /** Gives the slot of a granted [ticket] back after [held] without a statement having run at the member. */
+    /** Releases the slot of a granted [ticket] that was [held] without running a statement at the member. */
     public fun abandon(ticket: Ticket, now: Duration, held: Duration): QueueChanges {
         check(ticket.state == TicketState.RUNNING) { "$ticket does not hold a slot" }
         ticket.state = TicketState.ENDED
         inFlight--
-        settle(ticket, now, held)
+        chargeServiceTime(ticket, now, held)
         return dispatch(now)
     }
 
-    /** Takes a waiting [ticket] out of the queue; a ticket that runs or has ended stays as it is. */
+    /** Removes a waiting [ticket] from the queue; does nothing if the ticket is running or has ended. */
     public fun cancel(ticket: Ticket, now: Duration): QueueChanges {
         if (ticket.state != TicketState.WAITING) return QueueChanges.NONE
         ticket.state = TicketState.ENDED
-        ticket.flow.accrue(now, limit.slots)
+        ticket.flow.accrueFloorTime(now, limit.slots)
         if (ticket.flow.remove(ticket)) queued--
         return dispatch(now)
     }
 
-    /** Refuses the waiting items that can no longer meet their deadline. */
+    /** Refuses all waiting items that can no longer meet their deadline. */
     public fun expire(now: Duration): QueueChanges {
         if (queued == 0) return QueueChanges.NONE
         return QueueChanges(emptyList(), flows.values.flatMap { expireAll(it, now) })
     }
 
-    /** Returns the member's load. */
+    /** Returns the current load of the member. */
     public fun load(): QueueLoad = QueueLoad(
         limit = limit.current,
         inFlight = inFlight,
@@ -106,26 +108,26 @@
     )
 
     private fun flowOf(item: WorkItem): Flow {
-        val known = flows[item.flow]
-        if (known != null && (known.rank == item.rank || known.queued > 0)) {
-            known.floor = item.floorPercent / PERCENT
-            return known
+        val existing = flows[item.flow]
+        if (existing != null && (existing.rank == item.rank || existing.queued > 0)) {
+            existing.floor = item.floorPercent / PERCENT
+            return existing
         }
-        forgetIdleFlows()
+        removeIdleFlows()
         return Flow(item.flow, item.rank, item.floorPercent, policy).also { flows[item.flow] = it }
     }
 
-    private fun forgetIdleFlows() {
-        if (flows.size < FLOWS_KEPT) return
+    private fun removeIdleFlows() {
+        if (flows.size < IDLE_FLOW_CLEANUP_SIZE) return
         flows.values.removeIf { it.queued == 0 }
-        rankClock.forgetIdle { rank -> flows.values.any { it.rank == rank } }
-        teamClock.forgetIdle { (rank, team) -> flows.values.any { it.rank == rank && it.key.team == team } }
-        kindClock.forgetIdle { (_, team, kind) -> FlowKey(team, kind) in flows }
+        rankClock.removeIdle { rank -> flows.values.any { it.rank == rank } }
+        teamClock.removeIdle { (rank, team) -> flows.values.any { it.rank == rank && it.key.team == team } }
+        kindClock.removeIdle { (_, team, kind) -> FlowKey(team, kind) in flows }
     }
 
     private fun enqueue(ticket: Ticket, now: Duration): Ticket {
         val flow = ticket.flow
-        flow.accrue(now, limit.slots)
+        flow.accrueFloorTime(now, limit.slots)
         if (flow.queued == 0) activate(flow)
         flow.enqueue(ticket)
         queued++
@@ -148,15 +150,15 @@
         rankClock.dispatch(flow.rank, seconds / weight(flow.rank))
         teamClock.dispatch(flow.teamKey, seconds)
         kindClock.dispatch(flow.kindKey, seconds)
-        flow.receive(ticket.expectedService)
+        flow.chargeSlotTime(ticket.expectedService)
         return ticket
     }
 
-    private fun settle(ticket: Ticket, now: Duration, serviceTime: Duration) {
+    private fun chargeServiceTime(ticket: Ticket, now: Duration, serviceTime: Duration) {
         val flow = ticket.flow
         val difference = serviceTime - ticket.expectedService
         val seconds = difference.toDouble(DurationUnit.SECONDS)
-        flow.accrue(now, limit.slots)
+        flow.accrueFloorTime(now, limit.slots)
         flow.correct(difference)
         rankClock.correct(flow.rank, seconds / weight(flow.rank))
         teamClock.correct(flow.teamKey, seconds)
@@ -177,9 +179,9 @@
     }
 
     private fun startNext(now: Duration): Ticket {
-        val waiting = flows.values.filter { it.queued > 0 }.onEach { it.accrue(now, limit.slots) }
+        val waiting = flows.values.filter { it.queued > 0 }.onEach { it.accrueFloorTime(now, limit.slots) }
         val flow = policy.selectFlow(waiting.map { it.waitingFlow() }).flow
-        val ticket = flow.takeHead()
+        val ticket = flow.removeHead()
         queued--
         ticket.expectedService = flow.expectedService(ticket.item)
         return start(ticket, now)
@@ -193,23 +195,25 @@
         while (true) {
             val head = flow.peekHead()?.takeIf { cannotFinish(it, now) } ?: return expired
             flow.remove(head)
-            expired += ended(head, now)
+            expired += expireTicket(head, now)
         }
     }
 
     private fun expireAll(flow: Flow, now: Duration): List<ExpiredTicket> =
-        flow.removeWhere { cannotFinish(it, now) }.map { ended(it, now) }
+        flow.removeWhere { cannotFinish(it, now) }.map { expireTicket(it, now) }
 
     private fun cannotFinish(ticket: Ticket, now: Duration): Boolean =
         now + ticket.flow.expectedService(ticket.item) > ticket.item.deadline
 
-    private fun ended(ticket: Ticket, now: Duration): ExpiredTicket {
+    private fun expireTicket(ticket: Ticket, now: Duration): ExpiredTicket {
         ticket.state = TicketState.ENDED
         queued--
         return ExpiredTicket(ticket, refusal(RefusalReason.DEADLINE_PASSED, expectedWait(ticket.flow, now)))
     }
 
-    /** Time until an item that joins [flow] now gets a slot: the work ahead in its flow over the flow's share. */
+    /**
+     * Time until an item that joins [flow] now gets a slot: the work queued in the flow divided by its share of slots.
+     */
     private fun expectedWait(flow: Flow, now: Duration): Duration {
         val nextFreeSlot = service.value / limit.current
         return nextFreeSlot + flow.workAhead / (limit.current * shareOf(flow, now))
@@ -218,17 +222,17 @@
     private fun shareOf(flow: Flow, now: Duration): Double {
         val slots = limit.current
         val moreUrgent = usage.entries.sumOf { (rank, rate) -> if (rank < flow.rank) rate.slots(now) / slots else 0.0 }
-        val floorsBelow = flows.values.sumOf { if (it.rank > flow.rank && it.queued > 0) it.floor else 0.0 }
+        val lowerRankFloors = flows.values.sumOf { if (it.rank > flow.rank && it.queued > 0) it.floor else 0.0 }
         val peers = flows.values.filter { it !== flow && it.rank == flow.rank && it.queued > 0 }
         val teams = 1 + peers.map { it.key.team }.filter { it != flow.key.team }.distinct().size
         val kinds = 1 + peers.count { it.key.team == flow.key.team }
-        val fair = (1.0 - moreUrgent - floorsBelow) / (teams * kinds)
-        return maxOf(flow.floor, fair, LEAST_SHARE).coerceAtMost(1.0)
+        val fairShare = (1.0 - moreUrgent - lowerRankFloors) / (teams * kinds)
+        return maxOf(flow.floor, fairShare, MINIMUM_SHARE).coerceAtMost(1.0)
     }
 
     private fun refusal(reason: RefusalReason, excess: Duration): Admission.Refused {
-        val spread = excess.coerceAtLeast(LEAST_RETRY_AFTER) * (1.0 + policy.random())
-        return Admission.Refused(reason, spread.coerceAtMost(GREATEST_RETRY_AFTER))
+        val spread = excess.coerceAtLeast(MINIMUM_RETRY_AFTER) * (1.0 + policy.random())
+        return Admission.Refused(reason, spread.coerceAtMost(MAXIMUM_RETRY_AFTER))
     }
 
     private fun weight(rank: Rank): Double = policy.rankWeights[rank] ?: 1.0
@@ -239,9 +243,9 @@
 
     private companion object {
         const val PERCENT = 100.0
-        const val LEAST_SHARE = 0.01
-        const val FLOWS_KEPT = 256
-        val LEAST_RETRY_AFTER = 50.milliseconds
-        val GREATEST_RETRY_AFTER = 10.seconds
+        const val MINIMUM_SHARE = 0.01
+        const val IDLE_FLOW_CLEANUP_SIZE = 256
+        val MINIMUM_RETRY_AFTER = 50.milliseconds
+        val MAXIMUM_RETRY_AFTER = 10.seconds
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Averages.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Averages.kt
@@ -6,8 +6,8 @@
 import kotlin.time.DurationUnit
 
 /**
- * Exponentially weighted moving average of durations, each sample weighing [weight]. The first samples weigh equally,
- * so that none of them stands out for long.
+ * Exponentially weighted moving average of durations, in which each sample has the given [weight]. The first samples
+ * have equal weights, so that a single outlier among them does not dominate the average.
  */
 internal class DurationAverage(private val weight: Double, private val initial: Duration) {
     private var seconds: Double? = null
@@ -15,7 +15,7 @@
 
     val value: Duration get() = seconds?.seconds ?: initial
 
-    val measured: Boolean get() = seconds != null
+    val hasSamples: Boolean get() = seconds != null
 
     fun add(sample: Duration) {
         val latest = sample.toDouble(DurationUnit.SECONDS)
@@ -24,7 +24,7 @@
     }
 }
 
-/** Slot time per second of elapsed time, decaying with [window]. */
+/** Average number of slots in use: slot time per elapsed time, decaying exponentially with time constant [window]. */
 internal class UsageRate(private val window: Duration) {
     private var slotSeconds = 0.0
     private var updatedAt = Duration.ZERO
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/ConcurrencyLimit.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/ConcurrencyLimit.kt
@@ -1,7 +1,7 @@
 package dev.kumquatknot.core.admission
 
 /**
- * Number of statements that a member runs at the same time.
+ * Adaptive limit of the statements that run at one member at the same time.
  *
  * @property slots the member's configured slots; the limit never exceeds them.
  * @property exact the limit before rounding, between 1 and [slots].
@@ -12,23 +12,23 @@
     val exact: Double = slots.toDouble(),
     val slowdown: Double = 1.0,
 ) {
-    /** Statements that may run at the same time now; at least 1 and at most [slots]. */
+    /** The limit rounded down, at least 1 and at most [slots]. */
     val current: Int get() = exact.toInt().coerceIn(1, slots)
 }
 
 /**
- * One statement that ended.
+ * Measurement of one finished statement, the input to [AdjustLimit].
  *
  * @property slowdown its service time relative to the long-term average of its kind.
- * @property answered whether the member answered.
- * @property saturated whether all slots that the limit allows were taken while it ran.
+ * @property answered whether the member responded.
+ * @property saturated whether all slots within the limit were in use when it ended.
  */
 public data class ServiceSample(val slowdown: Double, val answered: Boolean, val saturated: Boolean)
 
-/** Adapts a [ConcurrencyLimit] to one more sample. */
+/** Returns the [ConcurrencyLimit] after one more sample. */
 public typealias AdjustLimit = (limit: ConcurrencyLimit, sample: ServiceSample) -> ConcurrencyLimit
 
-/** Keeps the configured slots whatever the member's service time is. */
+/** Keeps the limit unchanged, whatever the member's service time is. */
 public fun fixedLimit(
     limit: ConcurrencyLimit,
     @Suppress("UNUSED_PARAMETER") sample: ServiceSample,
@@ -36,8 +36,8 @@
     limit
 
 /**
- * Lowers the limit by the gradient of the service time while the member is clearly slower than it usually is, halves it
- * when an answer fails to come, and raises it step by step once service times are back to normal.
+ * Lowers the limit in proportion to the slowdown while the average slowdown exceeds [TOLERATED_SLOWDOWN], halves it
+ * when the member does not respond, and raises it by [RECOVERY_STEP] per statement otherwise.
  */
 public fun gradientLimit(limit: ConcurrencyLimit, sample: ServiceSample): ConcurrencyLimit {
     val slowdown = limit.slowdown + SAMPLE_WEIGHT * (sample.slowdown - limit.slowdown)
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Flow.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Flow.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** The waiting work of one kind of one team at one member, with what it has received. */
+/** Queue of one kind of one team at one member, with its service times and the slot time that its floor is owed. */
 public class Flow internal constructor(
     public val key: FlowKey,
     public val rank: Rank,
@@ -14,7 +14,7 @@
     private val waiting = ArrayDeque<Ticket>()
     private val service = DurationAverage(policy.serviceTimeWeight, policy.initialServiceTime)
     private val baseline = DurationAverage(policy.baselineWeight, policy.initialServiceTime)
-    private var owedAt = Duration.ZERO
+    private var deficitUpdatedAt = Duration.ZERO
     private var exceededSince = -Duration.INFINITE
     private var lastExceededAt = -Duration.INFINITE
 
@@ -22,15 +22,15 @@
     internal var workAhead: Duration = Duration.ZERO
         private set
 
-    /** Slot seconds that the floor of this flow grants it and that it has not received while it waited. */
-    public var owedSeconds: Double = 0.0
+    /** Slot time in seconds that the floor has granted this flow while items waited and that it has not used yet. */
+    public var floorDeficitSeconds: Double = 0.0
         private set
 
-    /** Whether its floor owes the flow the slot time of at least one item. */
+    /** Whether the deficit covers the slot time of at least one item. */
     public val belowFloor: Boolean
-        get() = floor > 0.0 && owedSeconds >= service.value.toDouble(DurationUnit.SECONDS)
+        get() = floor > 0.0 && floorDeficitSeconds >= service.value.toDouble(DurationUnit.SECONDS)
 
-    /** Deadline of the item that waits at the head; null where none waits. */
+    /** Deadline of the first waiting item; null if none waits. */
     public val headDeadline: Duration? get() = waiting.firstOrNull()?.item?.deadline
 
     /** Number of waiting items. */
@@ -45,9 +45,9 @@
         workAhead += ticket.expectedService
     }
 
-    internal fun takeHead(): Ticket = waiting.removeFirst().also { forget(it) }
+    internal fun removeHead(): Ticket = waiting.removeFirst().also { removeWork(it) }
 
-    internal fun remove(ticket: Ticket): Boolean = waiting.remove(ticket).also { if (it) forget(ticket) }
+    internal fun remove(ticket: Ticket): Boolean = waiting.remove(ticket).also { if (it) removeWork(ticket) }
 
     internal fun peekHead(): Ticket? = waiting.firstOrNull()
 
@@ -57,52 +57,58 @@
         return removed
     }
 
-    /** Adds what the floor grants for the time up to [now] out of [slots] slots. */
-    internal fun accrue(now: Duration, slots: Int) {
-        if (waiting.isNotEmpty() && now > owedAt) {
-            owedSeconds += floor * slots * (now - owedAt).toDouble(DurationUnit.SECONDS)
+    /** Adds the slot time that the floor grants up to [now], as a share of [slots] slots. */
+    internal fun accrueFloorTime(now: Duration, slots: Int) {
+        if (waiting.isNotEmpty() && now > deficitUpdatedAt) {
+            floorDeficitSeconds += floor * slots * (now - deficitUpdatedAt).toDouble(DurationUnit.SECONDS)
         }
-        owedAt = now
+        deficitUpdatedAt = now
     }
 
-    internal fun receive(slotTime: Duration) {
+    internal fun chargeSlotTime(slotTime: Duration) {
         val least = -service.value.toDouble(DurationUnit.SECONDS)
-        owedSeconds = maxOf(owedSeconds - slotTime.toDouble(DurationUnit.SECONDS), least)
-        if (waiting.isEmpty()) owedSeconds = minOf(owedSeconds, 0.0)
+        floorDeficitSeconds = maxOf(floorDeficitSeconds - slotTime.toDouble(DurationUnit.SECONDS), least)
+        if (waiting.isEmpty()) floorDeficitSeconds = minOf(floorDeficitSeconds, 0.0)
     }
 
     internal fun correct(difference: Duration) {
-        owedSeconds -= difference.toDouble(DurationUnit.SECONDS)
-        if (waiting.isEmpty()) owedSeconds = minOf(owedSeconds, 0.0)
+        floorDeficitSeconds -= difference.toDouble(DurationUnit.SECONDS)
+        if (waiting.isEmpty()) floorDeficitSeconds = minOf(floorDeficitSeconds, 0.0)
     }
 
-    /** Adds a measured service time and returns it relative to the long-term average; null for the first. */
-    internal fun measure(serviceTime: Duration, cost: Double): Double? {
-        val perUnit = serviceTime / maxOf(cost, LEAST_COST)
-        val usual = baseline.takeIf { it.measured }?.value
+    /** Adds a sample and returns it relative to the long-term average before it; null without such an average. */
+    internal fun recordServiceTime(serviceTime: Duration, cost: Double): Double? {
+        val perUnit = serviceTime / maxOf(cost, MINIMUM_COST)
+        val longTermAverage = baseline.takeIf { it.hasSamples }?.value
         service.add(perUnit)
         baseline.add(perUnit)
-        return usual?.takeIf { it > Duration.ZERO }?.let { perUnit / it }
+        return longTermAverage?.takeIf { it > Duration.ZERO }?.let { perUnit / it }
     }
 
     /**
-     * Notes an answer expected after [answer], and tells whether [target] has been exceeded again and again for at
-     * least [interval]. A time of that length in which no offer exceeds it ends this.
+     * Records the expected [responseTime] of an offered item and returns whether this is a standing queue:
+     * offers have kept exceeding [target] for at least [interval]. A pause longer than [interval] between two such
+     * offers resets this.
      */
-    internal fun standing(answer: Duration, target: Duration, interval: Duration, now: Duration): Boolean {
-        if (answer <= target) return false
+    internal fun recordExpectedResponse(
+        responseTime: Duration,
+        target: Duration,
+        interval: Duration,
+        now: Duration,
+    ): Boolean {
+        if (responseTime <= target) return false
         if (now - lastExceededAt > interval) exceededSince = now
         lastExceededAt = now
         return now - exceededSince >= interval
     }
 
-    private fun forget(ticket: Ticket) {
+    private fun removeWork(ticket: Ticket) {
         workAhead = if (waiting.isEmpty()) Duration.ZERO else maxOf(Duration.ZERO, workAhead - ticket.expectedService)
-        if (waiting.isEmpty()) owedSeconds = minOf(owedSeconds, 0.0)
+        if (waiting.isEmpty()) floorDeficitSeconds = minOf(floorDeficitSeconds, 0.0)
     }
 
     private companion object {
         const val PERCENT = 100.0
-        const val LEAST_COST = 0.01
+        const val MINIMUM_COST = 0.01
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/Disciplines.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/SchedulingDisciplines.kt
@@ -2,18 +2,18 @@
 
 import kotlin.time.Duration
 
-/** Picks the flow whose head runs next, out of at least one. */
+/** Selects the flow whose first item runs next; the list has at least one flow. */
 public typealias SelectFlow = (waiting: List<WaitingFlow>) -> WaitingFlow
 
 /**
- * The most urgent rank goes first, except that a flow below its floor goes before everything else. Within a rank slot
- * time is shared fairly among teams and, within a team, among kinds.
+ * Strict priority by rank, except that a flow below its floor precedes all others. Within a rank, slot time is shared
+ * fairly among teams and, within a team, among kinds.
  */
 public fun strictRankWithFloors(waiting: List<WaitingFlow>): WaitingFlow =
-    waiting.filter { it.flow.belowFloor }.maxByOrNull { it.flow.owedSeconds }
+    waiting.filter { it.flow.belowFloor }.maxByOrNull { it.flow.floorDeficitSeconds }
         ?: waiting.minWith(STRICT_RANK_ORDER)
 
-/** Ranks share slot time by their weights; within a rank the earliest deadline goes first. */
+/** Weighted fair queueing among ranks; earliest deadline first within a rank. */
 public fun weightedFairWithDeadlines(waiting: List<WaitingFlow>): WaitingFlow =
     waiting.minWith(WEIGHTED_FAIR_ORDER)
 
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/WaitingFlow.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/WaitingFlow.kt
@@ -1,10 +1,10 @@
 package dev.kumquatknot.core.admission
 
 /**
- * A flow with waiting work, and its places in the fair orders of ranks, teams and kinds.
+ * A flow with waiting items and its fair queueing tags; a lower tag is served first.
  *
- * @property rankTag weighted slot time that the rank has received.
- * @property teamTag slot time that the team has received within the rank.
- * @property kindTag slot time that the kind has received within the team and rank.
+ * @property rankTag virtual start time of the rank, from its weighted slot time.
+ * @property teamTag virtual start time of the team within the rank.
+ * @property kindTag virtual start time of the kind within the team and rank.
  */
 public data class WaitingFlow(val flow: Flow, val rankTag: Double, val teamTag: Double, val kindTag: Double)
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/WorkItem.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/admission/WorkItem.kt
@@ -7,12 +7,12 @@
 import kotlin.time.Duration
 
 /**
- * One batch of statements that asks for a slot of a member.
+ * A batch of statements that needs a slot of a member.
  *
- * @property floorPercent share of the member's slot time that the kind keeps while other work floods in.
- * @property target time since the arrival within which the team wants the answer.
- * @property deadline moment of the node's monotonic clock after which the answer is of no more use.
- * @property cost slot time expected, relative to an ordinary batch of the same kind.
+ * @property floorPercent minimum share of the member's slot time for the kind while it has waiting work, in percent.
+ * @property target time from arrival within which the team wants the response.
+ * @property deadline time of the node's monotonic clock after which the response is useless.
+ * @property cost expected slot time relative to an ordinary batch of the same kind.
  */
 public data class WorkItem(
     val id: RequestId,
@@ -27,5 +27,5 @@
     internal val flow: FlowKey get() = FlowKey(team, kind)
 }
 
-/** Identity of a flow: the work of one kind of one team at one member. */
+/** Key of a [Flow] within the [AdmissionQueue] of one member. */
 public data class FlowKey(val team: TeamName, val kind: KindName)
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/admission/AdmissionQueueSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/admission/AdmissionQueueSpec.kt
@@ -43,14 +43,14 @@
     @Nested
     inner class `free slots` {
         @Test
-        fun `are granted at once, and no more than there are`() {
+        fun `are granted immediately up to the limit`() {
             fill()
             expectThat(queue.offer(item("browse"), Duration.ZERO)).isA<Admission.Queued>()
             expectThat(queue.load().inFlight).isEqualTo(3)
         }
 
         @Test
-        fun `go to waiting work when a slot comes back`() {
+        fun `are granted to waiting work after a release`() {
             val running = fill()
             queue.offer(item("browse"), Duration.ZERO)
             expectThat(kinds(queue.release(running[0], 5.milliseconds, 5.milliseconds))).containsExactly("browse")
@@ -58,7 +58,7 @@
     }
 
     @Nested
-    inner class `order` {
+    inner class `scheduling order` {
         @Test
         fun `serves the most urgent rank first`() {
             val running = fill()
@@ -70,7 +70,7 @@
         }
 
         @Test
-        fun `lets a kind with little work pass the flood of another kind of its rank`() {
+        fun `lets a kind with little work overtake the queue of another kind of its rank`() {
             var running = fill("enrol", Rank.URGENT)
             repeat(20) { queue.offer(item("enrol", Rank.URGENT), Duration.ZERO) }
             queue.offer(item("pay", Rank.URGENT), 1.milliseconds)
@@ -84,7 +84,7 @@
         }
 
         @Test
-        fun `gives a kind its floor while more urgent work floods in`() {
+        fun `gives a kind its floor during a flood of more urgent work`() {
             val shares = floodedShares(floor = 10)
             expectThat(shares.getValue("clean")).isGreaterThanOrEqualTo(0.095)
             expectThat(shares.getValue("clean")).isLessThanOrEqualTo(0.15)
@@ -108,7 +108,7 @@
     @Nested
     inner class `deadlines` {
         @Test
-        fun `refuse at once what the work ahead leaves no time for`() {
+        fun `refuse an item immediately if the work ahead takes too long`() {
             fill()
             val refusals = List(200) { queue.offer(item("browse", deadline = 50.milliseconds), Duration.ZERO) }
                 .filterIsInstance<Admission.Refused>()
@@ -128,7 +128,7 @@
         }
 
         @Test
-        fun `are checked for all waiting items when time goes by without a release`() {
+        fun `are checked for all waiting items if there is no release`() {
             fill()
             queue.offer(item("browse", deadline = 20.milliseconds), Duration.ZERO)
             expectThat(queue.expire(19.milliseconds).expired.size).isEqualTo(1)
@@ -138,7 +138,7 @@
     @Nested
     inner class `a standing queue` {
         @Test
-        fun `takes in no more than can be answered on target`() {
+        fun `admits only as much as can be answered within the target`() {
             var running = fill()
             var now = Duration.ZERO
             val waits = ArrayList<Duration>()
@@ -157,7 +157,7 @@
     @Nested
     inner class `cancellation` {
         @Test
-        fun `takes a waiting item out and leaves a running one`() {
+        fun `removes a waiting item and keeps a running one`() {
             val running = fill()
             val waiting = (queue.offer(item("browse"), Duration.ZERO) as Admission.Queued).ticket
             queue.cancel(waiting, 1.milliseconds)
@@ -170,7 +170,7 @@
     @Nested
     inner class `concurrency limit` {
         @Test
-        fun `stays at the slots after a first statement that was exceptionally short`() {
+        fun `stays at the number of slots after an exceptionally short first statement`() {
             queue.release(granted(item("browse")), 100.microseconds, 100.microseconds)
             repeat(50) {
                 val now = 10.milliseconds * (it + 1)
@@ -184,7 +184,7 @@
         }
 
         @Test
-        fun `falls while answers fail to come and returns to the slots afterwards`() {
+        fun `falls while the member does not respond and recovers afterwards`() {
             fill().forEach { queue.release(it, 1.seconds, 1.seconds, answered = false) }
             expectThat(queue.load().limit).isEqualTo(1)
             var now = 1.seconds
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/admission/EdgeLimitsSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/admission/EdgeLimitsSpec.kt
@@ -39,7 +39,7 @@
     @Nested
     inner class `a flood of one rank` {
         @Test
-        fun `of background work stops at its share, so urgent work gets in`() {
+        fun `of background work is limited to its share, so that urgent work is admitted`() {
             floodRank(Rank.BACKGROUND)
             expectThat(limits.inFlight()).isGreaterThan(49)
             expectThat(limits.enter(kind("booking"), Rank.URGENT).isRight()).isEqualTo(true)
@@ -47,7 +47,7 @@
         }
 
         @Test
-        fun `of urgent work leaves every other kind its floor`() {
+        fun `of urgent work leaves the floor of every other kind`() {
             floodRank(Rank.URGENT).let { expectThat(it).isEqualTo(100) }
             val fresh = EdgeLimits(capacity = 100)
             repeat(1_000) { fresh.enter(kind("a"), Rank.URGENT) }
@@ -61,7 +61,7 @@
     @Nested
     inner class `work that releases resources` {
         @Test
-        fun `is bounded by the capacity alone`() {
+        fun `is limited by the capacity alone`() {
             floodRank(Rank.BACKGROUND)
             val admitted = (1..1_000).count {
                 limits.enter(kind("commit"), Rank.BACKGROUND, releasesResources = true).isRight()
@@ -74,14 +74,14 @@
     @Nested
     inner class `a refusal` {
         @Test
-        fun `tells when to come back`() {
+        fun `has a retry time`() {
             flood(kind("a"), Rank.BACKGROUND)
             val refusal = limits.enter(kind("a"), Rank.BACKGROUND).leftOrNull()
             expectThat(refusal).isNotNull().get { retryAfter }.isGreaterThan(Duration.ZERO)
         }
 
         @Test
-        fun `ends once requests have left`() {
+        fun `no longer occurs once requests have ended`() {
             val admitted = flood(kind("a"), Rank.BACKGROUND)
             repeat(admitted) { limits.leave(kind("a")) }
             expectThat(limits.inFlight()).isEqualTo(0)
@@ -90,7 +90,7 @@
     }
 
     @Test
-    fun `a departure without arrival is an error`() {
+    fun `leaving without an admitted request is an error`() {
         expectThrows<IllegalStateException> { limits.leave(kind("a")) }
     }
 }
