--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/GroupSnapshot.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/GroupSnapshot.kt
@@ -5,20 +5,20 @@
 import dev.kumquatknot.core.identity.MemberName
 import kotlin.time.Duration
 
-/** Whether a member takes new work. */
+/** Whether a member accepts new work. */
 public enum class MemberAvailability {
     AVAILABLE,
     UNREACHABLE,
 
-    /** The member is on the list of those that leave, or said so itself. */
+    /** The member is listed as leaving or has reported this itself. */
     LEAVING,
 }
 
 /**
- * Load of a member as last reported.
+ * Last reported load of a member.
  *
- * @property queued items that wait for a slot.
- * @property wait moving average of the time that admitted items waited.
+ * @property queued number of items that wait for a slot.
+ * @property wait moving average of the time that admitted items waited for a slot.
  * @property serviceTime moving average of the time that a statement holds a slot.
  */
 public data class MemberLoad(
@@ -28,17 +28,17 @@
     val wait: Duration,
     val serviceTime: Duration,
 ) {
-    /** Time until a statement sent now has been served. */
+    /** Expected time until a statement that arrives at the member now has been served. */
     val expectedAnswer: Duration
         get() = wait * minOf(1.0, inFlight / slots.toDouble()) + serviceTime * (1 + queued / slots.toDouble())
 }
 
 /**
- * What a VM knows about one member.
+ * Last known state of one member as seen by a VM.
  *
- * @property lastEntry last log entry that the member was seen to hold; null where it was not seen in this term.
- * @property lag recent time between a write at the primary and its arrival at this replica; null where unknown.
- * @property roundTrip time to the member and back, over the VM that holds its connections.
+ * @property lastEntry last log entry observed at the member; null if it was not observed in this term.
+ * @property lag recent replication delay from the primary to this replica; null if unknown.
+ * @property roundTrip round-trip time to the member, through the VM that holds its connections.
  */
 public data class MemberSnapshot(
     val member: MemberName,
@@ -50,17 +50,18 @@
 )
 
 /**
- * A point that the primary was seen to hold, where a majority stood in its term afterwards.
+ * A point observed at the primary, for which a majority was seen in the primary's term afterwards.
  *
- * @property seenAt moment of the node's monotonic clock before which the primary was asked.
+ * @property seenAt time of the node's monotonic clock before which the primary was queried.
  */
 public data class ProvenPoint(val point: HistoryPoint, val seenAt: Duration)
 
 /**
- * What a VM knows about one database group.
+ * Last known state of one database group as seen by a VM.
  *
- * @property primary the member that serves as primary in [term]; null during a change of primary.
- * @property provenPoints recent points of the primary, in the order of time.
+ * @property primary the member that serves as primary in [term]; null while there is none, for example during a
+ * failover.
+ * @property provenPoints recent points of the primary, oldest first.
  */
 public data class GroupSnapshot(
     val term: Term,
@@ -69,9 +70,9 @@
     val provenPoints: List<ProvenPoint>,
 ) {
     /**
-     * Returns the lowest point that proves data to be at most [age] old at [now]; null where none does. Whoever has
-     * reached what the primary held at a moment misses only what was written after it.
+     * Returns the lowest point that proves data to be at most [age] old at [now], or null. A member that has reached
+     * the point which the primary held at some time lacks only the writes made after that time.
      */
-    public fun pointProving(age: Duration, now: Duration): HistoryPoint? =
+    public fun oldestPointWithinAge(age: Duration, now: Duration): HistoryPoint? =
         provenPoints.firstOrNull { now - it.seenAt <= age }?.point
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/LagEstimator.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/LagEstimator.kt
@@ -4,42 +4,42 @@
 import kotlin.time.Duration
 
 /**
- * Estimates how far replicas lag behind their primary, from the points that were seen at both. Between two points of
- * the primary its log is taken to have grown steadily, so that estimates are finer than the interval between two looks.
+ * Estimates the replication lag of replicas from the log positions observed at them and at the primary. Interpolates
+ * linearly between two points of the primary, so that estimates are finer than the interval between observations.
  *
- * Not safe for use by several threads at once.
+ * Not thread-safe.
  *
- * @param kept number of points of the primary that are remembered.
+ * @param maximumPoints number of recent points of the primary that are kept.
  */
-public class LagEstimator(private val kept: Int = DEFAULT_KEPT) {
-    private val seen = ArrayDeque<ProvenPoint>()
+public class LagEstimator(private val maximumPoints: Int = DEFAULT_MAXIMUM_POINTS) {
+    private val observed = ArrayDeque<ProvenPoint>()
 
-    /** Records that the primary was at [point] at [at]. */
+    /** Records that the primary was at [point] at the time [at]. */
     public fun observePrimary(point: HistoryPoint, at: Duration) {
-        val last = seen.lastOrNull()
+        val last = observed.lastOrNull()
         if (last != null && (at < last.seenAt || last.point > point)) return
-        seen.addLast(ProvenPoint(point, at))
-        if (seen.size > kept) seen.removeFirst()
+        observed.addLast(ProvenPoint(point, at))
+        if (observed.size > maximumPoints) observed.removeFirst()
     }
 
-    /** Returns the lag of a replica that was at [point] at [at]; null where all known points are newer. */
+    /** Returns the lag of a replica that was at [point] at the time [at]; null if all kept points are newer. */
     public fun lag(point: HistoryPoint, at: Duration): Duration? {
-        val index = seen.indexOfLast { point.covers(it.point) }
+        val index = observed.indexOfLast { point.covers(it.point) }
         if (index < 0) return null
-        val reached = seen[index]
-        val next = seen.getOrNull(index + 1) ?: return ((at - reached.seenAt) / 2).coerceAtLeast(Duration.ZERO)
-        return (at - momentOf(point, reached, next)).coerceAtLeast(Duration.ZERO)
+        val before = observed[index]
+        val after = observed.getOrNull(index + 1) ?: return ((at - before.seenAt) / 2).coerceAtLeast(Duration.ZERO)
+        return (at - timeAt(point, before, after)).coerceAtLeast(Duration.ZERO)
     }
 
-    /** Moment at which the primary was at [point], between [reached] and [next]. */
-    private fun momentOf(point: HistoryPoint, reached: ProvenPoint, next: ProvenPoint): Duration {
-        if (point.term != next.point.term || reached.point.term != next.point.term) return reached.seenAt
-        val growth = next.point.position.value - reached.point.position.value
-        val part = point.position.value - reached.point.position.value
-        return reached.seenAt + (next.seenAt - reached.seenAt) * (part.toDouble() / growth)
+    /** Interpolated time at which the primary was at [point], between [before] and [after]. */
+    private fun timeAt(point: HistoryPoint, before: ProvenPoint, after: ProvenPoint): Duration {
+        if (point.term != after.point.term || before.point.term != after.point.term) return before.seenAt
+        val growth = after.point.position.value - before.point.position.value
+        val progress = point.position.value - before.point.position.value
+        return before.seenAt + (after.seenAt - before.seenAt) * (progress.toDouble() / growth)
     }
 
     private companion object {
-        const val DEFAULT_KEPT = 64
+        const val DEFAULT_MAXIMUM_POINTS = 64
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/RequestNeeds.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/RequestNeeds.kt
@@ -3,18 +3,18 @@
 import dev.kumquatknot.core.history.HistoryPoint
 import kotlin.time.Duration
 
-/** What a request needs of the member that runs it. */
+/** Requirements of a request on the member that runs it. */
 public sealed interface RequestNeeds {
-    /** Point that the caller's session has seen. */
+    /** Latest history point that the caller's session has observed. */
     public val sessionPoint: HistoryPoint
 
-    /** Time within which the team wants the answer. */
+    /** Time within which the team wants the response. */
     public val target: Duration
 
-    /** Moment of the node's monotonic clock after which the answer is of no more use. */
+    /** Time of the node's monotonic clock after which the response is useless. */
     public val deadline: Duration
 
-    /** A change, which only the primary runs. */
+    /** A write, which only the primary runs. */
     public data class Write(
         override val sessionPoint: HistoryPoint,
         override val target: Duration,
@@ -22,9 +22,9 @@
     ) : RequestNeeds
 
     /**
-     * A read of data that holds all that the session has seen.
+     * A read that must include all that the session has observed.
      *
-     * @property maximumAge age of data that the caller accepts; null where it asks for its session's writes only.
+     * @property maximumAge maximum staleness that the caller accepts; null if only session consistency is required.
      * @property unresolved whether the session has a write of unknown outcome in the database group.
      */
     public data class Read(
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/LagEstimatorSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/LagEstimatorSpec.kt
@@ -15,14 +15,14 @@
     private fun point(position: Long, term: Long = 1) = HistoryPoint(Term(term), LogPosition(position))
 
     @Test
-    fun `takes the log to have grown steadily between two points of the primary`() {
+    fun `interpolates linearly between two points of the primary`() {
         estimator.observePrimary(point(100), 1000.milliseconds)
         estimator.observePrimary(point(200), 1200.milliseconds)
         expectThat(estimator.lag(point(150), 1150.milliseconds)).isEqualTo(50.milliseconds)
     }
 
     @Test
-    fun `counts no time in which the primary wrote nothing`() {
+    fun `does not count time in which the primary wrote nothing`() {
         estimator.observePrimary(point(100), 1000.milliseconds)
         estimator.observePrimary(point(100), 9000.milliseconds)
         estimator.observePrimary(point(101), 9200.milliseconds)
@@ -30,13 +30,13 @@
     }
 
     @Test
-    fun `of a replica that has reached the newest point is within the time since it was seen`() {
+    fun `of a replica at the newest point is half the time since that point was observed`() {
         estimator.observePrimary(point(100), 1000.milliseconds)
         expectThat(estimator.lag(point(100), 1040.milliseconds)).isEqualTo(20.milliseconds)
     }
 
     @Test
-    fun `is unknown for a replica behind all points that are remembered`() {
+    fun `is unknown for a replica behind all kept points`() {
         estimator.observePrimary(point(100), 1000.milliseconds)
         expectThat(estimator.lag(point(99), 1000.milliseconds)).isNull()
     }
