--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/InteractiveConfiguration.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/InteractiveConfiguration.kt
@@ -6,26 +6,26 @@
 import dev.kumquatknot.core.identity.MemberName
 import kotlin.time.Duration
 
-/** What a read of a route must see. */
+/** Consistency level that reads of a route require. */
 public enum class ReadConsistency {
-    /** Every write acknowledged before the read. */
+    /** The read sees every write acknowledged before it. */
     CURRENT,
 
-    /** Every write acknowledged longer than the route's maximum staleness ago. */
+    /** The read sees every write that was acknowledged longer ago than the route's maximum staleness. */
     BOUNDED_STALENESS,
 
-    /** As [BOUNDED_STALENESS], and every write of the same session. */
+    /** [BOUNDED_STALENESS], and the read also sees every write of its own session. */
     READ_YOUR_WRITES,
 }
 
 /**
- * How the statements of sessions on one database name are served.
+ * Settings by which sessions on one database name are served.
  *
- * @property name the database as callers name it.
+ * @property name database name that callers use.
  * @property group the database group whose members run the statements.
- * @property statementTimeout time that a single statement has.
- * @property target time within which callers want a whole operation.
- * @property maximumStaleness age of the data that reads accept; not used by [ReadConsistency.CURRENT].
+ * @property statementTimeout maximum time for a single statement.
+ * @property target time within which callers want a whole operation to finish.
+ * @property maximumStaleness maximum age of the data that reads accept; ignored by [ReadConsistency.CURRENT].
  */
 public data class InteractiveRoute(
     val name: String,
@@ -38,11 +38,11 @@
 )
 
 /**
- * The routes in force.
+ * The interactive routes and limits in force.
  *
- * @property number grows with each configuration.
- * @property connections connections that a member of each group takes from all VMs together.
- * @property transactionIdle time after which an idle transaction may be ended.
+ * @property number increases with each configuration.
+ * @property connections maximum of connections that a member of each group accepts from all VMs together.
+ * @property transactionIdle idle time after which an open transaction may be ended.
  */
 public data class InteractiveConfiguration(
     val number: Long,
@@ -51,18 +51,18 @@
     val transactionIdle: Duration,
 ) {
     public companion object {
-        /** Stands for no configuration; nothing is served under it. */
+        /** Placeholder before the first configuration; without routes, nothing is served. */
         public val NONE: InteractiveConfiguration =
             InteractiveConfiguration(0, emptyMap(), emptyMap(), Duration.INFINITE)
     }
 }
 
 /**
- * One life of a member, as discovery names it.
+ * One run of a member's process, as listed by service discovery.
  *
- * @property startedAtMillis calendar time of its start, which tells two lives under one name apart.
- * @property leaving whether it takes no new work.
- * @property claimsPrimary whether it called itself primary, which proves nothing.
+ * @property startedAtMillis wall-clock start time, which distinguishes two runs under one name.
+ * @property leaving whether the member accepts no new work.
+ * @property claimsPrimary whether the member claims to be primary, which doesn't prove that it is.
  */
 public data class DiscoveredMember(
     val name: MemberName,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/MemberCommand.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/MemberCommand.kt
@@ -4,12 +4,12 @@
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.RequestId
 
-/** One command on a connection to a member. Each gets exactly one [MemberReply], in order. */
+/** A command on a connection to a member. Each one gets exactly one [MemberReply], in order. */
 public sealed interface MemberCommand {
-    /** Opens a transaction; refused unless the member has reached [after]. */
+    /** Opens a transaction; rejected unless the member has reached [after]. */
     public data class Begin(val readOnly: Boolean, val after: HistoryPoint? = null) : MemberCommand
 
-    /** Runs a caller's statement unchanged; refused unless the member has reached [after]. */
+    /** Runs a caller's statement unchanged; rejected unless the member has reached [after]. */
     public data class Run(
         val request: RequestId,
         val access: StatementAccess,
@@ -17,7 +17,9 @@
         val after: HistoryPoint? = null,
     ) : MemberCommand
 
-    /** Runs the plan that this connection knows as [name]. */
+    /**
+     * Runs the plan that is prepared on this connection under [name]; rejected unless the member has reached [after].
+     */
     public data class Execute(
         val request: RequestId,
         val access: StatementAccess,
@@ -26,33 +28,33 @@
         val after: HistoryPoint? = null,
     ) : MemberCommand
 
-    /** Commits a caller's transaction. */
+    /** Commits a caller's transaction with the caller's own statement [text]. */
     public data class Commit(val request: RequestId, val text: String) : MemberCommand
 
-    /** Rolls the open transaction back. */
+    /** Rolls back the open transaction. */
     public data object Rollback : MemberCommand
 
-    /** Sets a session value on this connection. */
+    /** Sets a session variable on this connection. */
     public data class SetValue(val name: String, val value: String) : MemberCommand
 
     /** Prepares [plan] under [name] on this connection. */
     public data class Prepare(val name: String, val plan: StatementPlan) : MemberCommand
 
-    /** Forgets all values and plans of this connection. */
+    /** Clears all session variables and prepared plans of this connection. */
     public data object Reset : MemberCommand
 
-    /** Asks the member for its role and positions. */
+    /** Requests the member's [ReplicationReport]. */
     public data object Report : MemberCommand
 }
 
-/** State of a session after a statement. */
+/** Transaction state of a session after a statement. */
 public enum class TransactionState {
     IDLE,
     OPEN,
     FAILED,
 }
 
-/** Why a statement was rejected. [notRun] tells whether that proves that it did not run. */
+/** Why a statement was rejected. [notRun] is true if the code proves that the statement did not run. */
 public enum class RejectionCode(public val notRun: Boolean) {
     BUSY(true),
     UNKNOWN_PLAN(true),
@@ -70,21 +72,21 @@
     OTHER(false),
 }
 
-/** How a statement ended. */
+/** Result of a statement. */
 public sealed interface StatementResult {
-    /** It succeeded; [signature] is the member's, or null where no member took part. */
+    /** The statement succeeded; [signature] comes from the member and is null if no member was involved. */
     public data class Completed(val signature: String?) : StatementResult
 
-    /** It was rejected. */
+    /** The statement was rejected. */
     public data class Rejected(val code: RejectionCode, val detail: String) : StatementResult
 }
 
 /**
  * Reply of a member to one command.
  *
- * @property rows the rows as they came.
- * @property point end of the member's log when it replied; null where it named none.
- * @property report what the member said of itself, where it was asked for that.
+ * @property rows result rows, unchanged.
+ * @property point end of the member's log at the time of the reply; null if the reply did not contain it.
+ * @property report the member's report, in reply to [MemberCommand.Report].
  */
 public data class MemberReply(
     val rows: List<String>,
@@ -96,7 +98,7 @@
     /** Whether the command succeeded. */
     val isCompleted: Boolean get() = result is StatementResult.Completed
 
-    /** Why the command was rejected; null where it succeeded. */
+    /** Why the command was rejected; null if it succeeded. */
     val rejection: RejectionCode? get() = (result as? StatementResult.Rejected)?.code
 }
 
@@ -108,11 +110,11 @@
 )
 
 /**
- * A member's report of itself.
+ * Replication state that a member reports about itself.
  *
- * @property received end of the log that it has received, which may not be applied yet.
- * @property accepted highest term that it has accepted.
- * @property connections connections of all callers together.
+ * @property received end of the received log, which may not be applied yet.
+ * @property accepted highest accepted term.
+ * @property connections number of open connections from all callers together.
  */
 public data class ReplicationReport(
     val primary: Boolean,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionState.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionState.kt
@@ -1,26 +1,28 @@
 package dev.kumquatknot.core.interactive
 
-/** What a session has set: its values and its prepared statements by name. */
+/** State that a session has set up: its variables and its prepared statements, by name. */
 public data class SessionState(
     val values: Map<String, String> = emptyMap(),
     val plans: Map<String, StatementPlan> = emptyMap(),
 ) {
-    /** Returns the memory after a value was set. */
+    /** Returns the state after a variable was set. */
     public fun with(statement: SessionStatement.SetValue): SessionState =
         copy(values = values + (statement.name to statement.value))
 
-    /** Returns the memory after a statement was prepared. */
+    /** Returns the state after a statement was prepared. */
     public fun with(statement: SessionStatement.Prepare): SessionState =
         copy(plans = plans + (statement.name to statement.plan))
 
-    /** Returns the memory without the plan called [name]. */
+    /** Returns the state without the plan called [name]. */
     public fun without(name: String): SessionState = copy(plans = plans - name)
 }
 
 /**
- * What a member's connection has been told, so that any session can be put onto it.
+ * Session state that is set up on a connection to a member, so that the connection can be given to any session.
  *
- * Plans are shared among sessions: a connection knows each under a name that is made from what it does.
+ * Prepared plans are shared among sessions: each has a name on the connection that is derived from the plan itself.
+ *
+ * @property uncertain whether the actual state may differ from the recorded one; the connection is reset before use.
  */
 public data class ConnectionState(
     val values: Map<String, String> = emptyMap(),
@@ -28,8 +30,8 @@
     val uncertain: Boolean = false,
 ) {
     /**
-     * Returns the commands that give the connection exactly the [wanted] values and, where one is needed, the [plan],
-     * together with the memory after them.
+     * Returns the commands that set exactly the [wanted] variables on the connection and prepare the [plan], if one is
+     * given, together with the connection's state after them.
      */
     public fun prepareFor(wanted: Map<String, String>, plan: StatementPlan?): PreparedConnection {
         val reset = uncertain || values.keys.any { it !in wanted } || plans.size >= MAXIMUM_PLANS
@@ -45,14 +47,14 @@
     }
 
     public companion object {
-        /** Plans that one connection keeps before it is reset; bounds the memory that it takes at the member. */
+        /** Number of prepared plans at which a connection is reset, which limits its memory use at the member. */
         public const val MAXIMUM_PLANS: Int = 200
 
-        /** Returns the name under which every connection knows [plan]. */
+        /** Returns the name under which [plan] is prepared on every connection. */
         public fun planName(plan: StatementPlan): String =
             (if (plan.access == StatementAccess.READ) "r_" else "w_") + plan.shape
     }
 }
 
-/** The [commands] that make a connection ready for a session, and what it knows [after] them. */
+/** The [commands] that set up a connection for a session, and the connection's state [after] them. */
 public data class PreparedConnection(val commands: List<MemberCommand>, val after: ConnectionState)
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionStatement.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionStatement.kt
@@ -6,35 +6,35 @@
     WRITE,
 }
 
-/** A statement of an interactive session, as its caller sent it. */
+/** A parsed statement of an interactive session. */
 public sealed interface SessionStatement {
     /** Opens a transaction; one that is [readOnly] may run at a replica. */
     public data class Begin(val readOnly: Boolean) : SessionStatement
 
-    /** Commits the open transaction; [text] is passed on unchanged. */
+    /** Commits the open transaction; [text] is sent to the member unchanged. */
     public data class Commit(val text: String) : SessionStatement
 
-    /** Rolls the open transaction back. */
+    /** Rolls back the open transaction. */
     public data object Rollback : SessionStatement
 
-    /** A statement for a member, which gets [text] unchanged. */
+    /** A statement for a member; [text] is sent unchanged. */
     public data class Run(val access: StatementAccess, val text: String) : SessionStatement
 
-    /** Sets a value of the session. */
+    /** Sets a session variable. */
     public data class SetValue(val name: String, val value: String) : SessionStatement
 
-    /** Names a [plan] for later use in this session. */
+    /** Prepares [plan] under [name] for this session. */
     public data class Prepare(val name: String, val plan: StatementPlan) : SessionStatement
 
-    /** Runs the plan called [name] with [arguments], which the member gets unchanged. */
+    /** Runs the plan called [name] with [arguments], which are sent to the member unchanged. */
     public data class Execute(val name: String, val arguments: String) : SessionStatement
 
-    /** Forgets the plan called [name]. */
+    /** Removes the plan called [name]. */
     public data class Deallocate(val name: String) : SessionStatement
 
-    /** A text that is no statement; [detail] says why. */
+    /** Input that cannot be parsed as a statement; [detail] is the reason. */
     public data class Malformed(val detail: String) : SessionStatement
 }
 
-/** What a prepared statement does; [shape] is opaque to the proxy. */
+/** Content of a prepared statement; [shape] is opaque to the proxy. */
 public data class StatementPlan(val access: StatementAccess, val shape: String)
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ConnectionStateSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ConnectionStateSpec.kt
@@ -15,29 +15,29 @@
         prepareFor(values, plan).commands
 
     @Nested
-    inner class `values` {
+    inner class `session variables` {
         @Test
-        fun `that the connection has are not set again`() {
-            val memory = ConnectionState(mapOf("v" to "1"))
-            expectThat(memory.commandsFor(mapOf("v" to "1"))).isEmpty()
+        fun `that the connection already has are not set again`() {
+            val state = ConnectionState(mapOf("v" to "1"))
+            expectThat(state.commandsFor(mapOf("v" to "1"))).isEmpty()
         }
 
         @Test
         fun `that changed are set`() {
-            val memory = ConnectionState(mapOf("v" to "1"))
-            expectThat(memory.commandsFor(mapOf("v" to "2"))).isEqualTo(listOf(MemberCommand.SetValue("v", "2")))
+            val state = ConnectionState(mapOf("v" to "1"))
+            expectThat(state.commandsFor(mapOf("v" to "2"))).isEqualTo(listOf(MemberCommand.SetValue("v", "2")))
         }
 
         @Test
-        fun `of another session are cleared first`() {
-            val memory = ConnectionState(mapOf("other" to "1"))
-            expectThat(memory.commandsFor(emptyMap())).isEqualTo(listOf(MemberCommand.Reset))
+        fun `of another session cause a reset`() {
+            val state = ConnectionState(mapOf("other" to "1"))
+            expectThat(state.commandsFor(emptyMap())).isEqualTo(listOf(MemberCommand.Reset))
         }
 
         @Test
         fun `are all set again on a connection whose state is uncertain`() {
-            val memory = ConnectionState(mapOf("v" to "1"), uncertain = true)
-            expectThat(memory.commandsFor(mapOf("v" to "1")))
+            val state = ConnectionState(mapOf("v" to "1"), uncertain = true)
+            expectThat(state.commandsFor(mapOf("v" to "1")))
                 .isEqualTo(listOf(MemberCommand.Reset, MemberCommand.SetValue("v", "1")))
         }
     }
@@ -45,13 +45,13 @@
     @Nested
     inner class `plans` {
         @Test
-        fun `are shared by what they do, whatever sessions call them`() {
+        fun `are shared among sessions by their content`() {
             val after = ConnectionState().prepareFor(emptyMap(), plan).after
             expectThat(after.commandsFor(emptyMap(), StatementPlan(StatementAccess.READ, "q2c"))).isEmpty()
         }
 
         @Test
-        fun `that read and write one shape are kept apart`() {
+        fun `of equal shape for reading and writing have different names`() {
             expectThat(
                 ConnectionState.planName(plan) == ConnectionState.planName(plan.copy(access = StatementAccess.WRITE)),
             )
@@ -60,12 +60,12 @@
 
         @Test
         fun `are prepared again after a reset`() {
-            val memory = ConnectionState(mapOf("other" to "1"), setOf(plan))
-            expectThat(memory.commandsFor(emptyMap(), plan)).contains(MemberCommand.Prepare("r_q2c", plan))
+            val state = ConnectionState(mapOf("other" to "1"), setOf(plan))
+            expectThat(state.commandsFor(emptyMap(), plan)).contains(MemberCommand.Prepare("r_q2c", plan))
         }
 
         @Test
-        fun `beyond the most that a connection keeps reset it`() {
+        fun `at the maximum number cause a reset`() {
             val plans = (1..ConnectionState.MAXIMUM_PLANS).map { StatementPlan(StatementAccess.READ, "s$it") }.toSet()
             expectThat(
                 ConnectionState(plans = plans).commandsFor(emptyMap(), plan),
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/FailoverWaitPolicySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/FailoverWaitPolicySpec.kt
@@ -9,26 +9,32 @@
 import kotlin.time.Duration.Companion.seconds
 
 class FailoverWaitPolicySpec {
-    private val patience =
-        FailoverWaitPolicy(OutageTiming(usual = 3.seconds, longest = 4.seconds, service = 100.milliseconds))
+    private val policy =
+        FailoverWaitPolicy(
+            FailoverWaitTiming(
+                expectedDuration = 3.seconds,
+                maximumDuration = 4.seconds,
+                service = 100.milliseconds,
+            ),
+        )
 
     private fun latestWaitTime(now: Int, deadline: Int) =
-        patience.latestWaitTime(10.seconds, now.milliseconds, deadline.milliseconds)
+        policy.latestWaitTime(10.seconds, now.milliseconds, deadline.milliseconds)
 
     @Nested
-    inner class `work during a failover` {
+    inner class `a request during a failover` {
         @Test
-        fun `waits until its last chance where the successor is expected in time`() {
+        fun `waits until its deadline less the service time if a new primary is expected in time`() {
             expectThat(latestWaitTime(now = 12_500, deadline = 13_300)).isEqualTo(13_200.milliseconds)
         }
 
         @Test
-        fun `does not wait where its time ends before that`() {
+        fun `does not wait if its deadline is before the new primary is expected`() {
             expectThat(latestWaitTime(now = 12_000, deadline = 13_000)).isNull()
         }
 
         @Test
-        fun `waits a little longer than usual where the failover is late`() {
+        fun `waits up to the maximum duration if the failover is late`() {
             expectThat(latestWaitTime(now = 13_500, deadline = 15_000)).isEqualTo(14.seconds)
         }
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ReadPlacementSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ReadPlacementSpec.kt
@@ -47,24 +47,24 @@
         }
 
         @Test
-        fun `does not go to a replica that was behind a moment ago`() {
+        fun `does not go to a replica that was recently observed behind the required point`() {
             expectThat(chosen(candidate("behind", at = 9), candidate("far", remote = true))).isEqualTo("far")
         }
 
         @Test
-        fun `may go to a replica of which nothing was heard for some time`() {
-            expectThat(chosen(candidate("quiet", at = 9, age = 400.milliseconds))).isEqualTo("quiet")
+        fun `may go to a replica whose last observed point is stale`() {
+            expectThat(chosen(candidate("stale", at = 9, age = 400.milliseconds))).isEqualTo("stale")
         }
 
         @Test
-        fun `goes to the primary only where replicas are behind or much busier`() {
+        fun `goes to the primary if the replicas are behind, not if one is slightly busier`() {
             expectThat(chosen(candidate("replica", wait = 20.milliseconds), candidate("primary", primary = true)))
                 .isEqualTo("replica")
             expectThat(chosen(candidate("replica", at = 9), candidate("primary", primary = true))).isEqualTo("primary")
         }
 
         @Test
-        fun `has no place where all replicas are behind`() {
+        fun `has no candidate if all replicas are behind`() {
             expectThat(chosen(candidate("replica", at = 9))).isNull()
         }
     }
