--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/GatewaySelection.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/GatewaySelection.kt
@@ -6,14 +6,17 @@
 import dev.kumquatknot.core.identity.VmName
 
 /**
- * Chooses by rendezvous hashing which VM holds the connections of a member: VMs in the member's own data centre come
- * first, then those in its region, then all others; within each by the highest hash of VM and member. A VM that joins
- * or goes moves only the members that it gains or held.
+ * Selects by rendezvous hashing the VM that holds the connections to a member. VMs in the member's own data centre are
+ * preferred, then those in its region, then all others; within each of these the highest hash of VM and member wins.
+ * When a VM joins or leaves, only the members that it gains or held are reassigned.
  *
- * @property regionOf returns the region of a data centre, or null where it is not configured.
+ * @property regionOf returns the region of a data centre, or null if it is not configured.
  */
 public class GatewaySelection(private val regionOf: (DataCentre) -> Region?) {
-    /** Returns the VMs among [vms] that may serve [subject] in [dataCentre], the gateway first, then its deputies. */
+    /**
+     * Returns the VMs among [vms] that may serve [subject] in [dataCentre], in order of preference: the gateway first,
+     * then its fallbacks.
+     */
     public fun order(subject: String, dataCentre: DataCentre, vms: List<VmRecord>): List<VmRecord> {
         val region = regionOf(dataCentre)
         return vms.sortedWith(
@@ -23,7 +26,7 @@
         )
     }
 
-    /** Returns the gateway of [subject], or null without VMs. Takes one pass, for large fleets. */
+    /** Returns the gateway of [subject], or null if there are no VMs. Takes a single pass, for large fleets. */
     public fun gateway(subject: String, dataCentre: DataCentre, vms: List<VmRecord>): VmRecord? {
         val region = regionOf(dataCentre)
         return vms.minWithOrNull(
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/Membership.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/Membership.kt
@@ -9,11 +9,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The view that one node has of all VMs, combined from the platform's lagging list, from what other nodes pass on and
- * from its own probes. Immutable; each fact gives a [MembershipChange].
+ * The membership view of one node: the state of all VMs, combined from the platform's delayed list, from gossip of
+ * other nodes and from its own probes. Immutable; each update returns a [MembershipChange].
  *
- * @property self the record of this node's own VM; nobody else raises its incarnation.
- * @property leavingMembers backend servers that the platform's list names as leaving.
+ * @property self record of this node's own VM; only this node raises its incarnation.
+ * @property leavingMembers backend servers that the platform lists as leaving.
  */
 public class Membership private constructor(
     public val self: VmRecord,
@@ -22,26 +22,26 @@
 ) {
     public constructor(self: VmRecord) : this(self, emptyMap(), emptySet())
 
-    /** Records of all known VMs, this one included, by name. */
+    /** Records of all known VMs by name, including this one. */
     public val records: Map<VmName, VmRecord> by lazy {
         others.mapValues { it.value.record } + (self.name to self)
     }
 
-    /** VMs to which new work may go, this one included while it is not leaving. */
+    /** VMs that may receive new work, including this one unless it is leaving, sorted by name. */
     public val usable: List<VmRecord> by lazy { records.values.filter { it.takesNewWork }.sortedBy { it.name } }
 
-    /** Returns the record of [vm], or null where it is not known. */
+    /** Returns the record of [vm], or null if it is unknown. */
     public fun record(vm: VmName): VmRecord? = if (vm == self.name) self else others[vm]?.record
 
-    /** Takes in [records] that another node passed on at [now]. */
+    /** Merges [records] that were received from another node at [now]. */
     public fun merged(records: List<VmRecord>, now: Duration): MembershipChange =
         records.fold(MembershipChange(this, emptyList())) { change, record ->
-            change.then { it.mergedOne(record, now) }
+            change.then { it.mergedRecord(record, now) }
         }
 
     /**
-     * Takes in the platform's list, read at [now]. Names in [memberNames] are backend servers, all others VMs of the
-     * proxy. The list adds VMs and marks them as leaving; it never revives one, because it lags.
+     * Merges the platform's list, read at [now]. Names in [memberNames] are backend servers, all others VMs of the
+     * proxy. The list can add VMs and mark them as leaving, but never revives one, because it is delayed.
      */
     public fun listed(list: List<ListedVm>, memberNames: Set<MemberName>, now: Duration): MembershipChange {
         val (servers, vms) = list.partition { MemberName(it.name.value) in memberNames }
@@ -51,19 +51,21 @@
         return base.merged(records, now)
     }
 
-    /** Takes in that [vm] answered neither a probe nor an indirect one, at [now]. */
+    /** Records that [vm] responded neither to a direct nor to an indirect probe at [now]. */
     public fun withFailedProbe(vm: VmName, now: Duration): MembershipChange {
         val known = others[vm]?.record ?: return unchanged()
         return when (known.condition) {
-            VmCondition.LIVE -> mergedOne(known.copy(condition = VmCondition.SUSPECTED), now)
-            VmCondition.LEAVING -> mergedOne(known.copy(condition = VmCondition.FAILED), now)
+            VmCondition.LIVE -> mergedRecord(known.copy(condition = VmCondition.SUSPECTED), now)
+            VmCondition.LEAVING -> mergedRecord(known.copy(condition = VmCondition.FAILED), now)
             VmCondition.SUSPECTED, VmCondition.FAILED -> unchanged()
         }
     }
 
-    /** Fails the VMs that have been suspected for too long, and forgets those that failed long ago. */
+    /** Marks the VMs as failed whose suspicion has timed out, and removes those that failed long ago. */
     public fun withTimeoutsApplied(now: Duration): MembershipChange {
-        val kept = others.filterValues { it.record.condition != VmCondition.FAILED || now - it.since < FORGET_AFTER }
+        val kept = others.filterValues {
+            it.record.condition != VmCondition.FAILED || now - it.since < FAILED_VM_RETENTION
+        }
         val overdue = kept.values.filter {
             it.record.condition == VmCondition.SUSPECTED && now - it.since >= SUSPICION_TIMEOUT
         }
@@ -77,7 +79,7 @@
         return MembershipChange(Membership(record, others, leavingMembers), listOf(record))
     }
 
-    private fun mergedOne(record: VmRecord, now: Duration): MembershipChange {
+    private fun mergedRecord(record: VmRecord, now: Duration): MembershipChange {
         if (record.name == self.name) return mergedSelf(record)
         val known = others[record.name]
         if (known != null && !record.overrides(known.record)) return unchanged()
@@ -102,24 +104,24 @@
     private data class TrackedVm(val record: VmRecord, val since: Duration)
 
     public companion object {
-        /** Incarnation of a VM that has not spoken for itself yet. */
+        /** Incarnation of a VM that has not sent a record of its own yet. */
         public const val FIRST_INCARNATION: Long = 0
 
-        /** Time that a suspected VM has to refute the suspicion. */
+        /** Time within which a suspected VM can refute the suspicion. */
         public val SUSPICION_TIMEOUT: Duration = 2.seconds
 
-        /** Time for which a failed VM is remembered, so that late news cannot revive it. */
-        public val FORGET_AFTER: Duration = 10.minutes
+        /** Time for which the record of a failed VM is kept, so that a late message cannot revive it. */
+        public val FAILED_VM_RETENTION: Duration = 10.minutes
     }
 }
 
 /**
- * The [membership] after a fact.
+ * The [membership] after an update.
  *
- * @property changedRecords the records that changed and are to be passed on.
+ * @property changedRecords records that changed and must be sent to other nodes.
  */
 public data class MembershipChange(val membership: Membership, val changedRecords: List<VmRecord>) {
-    /** Applies [next] to the membership and gathers the news of both. */
+    /** Applies [next] to the membership and combines the changed records of both. */
     public fun then(next: (Membership) -> MembershipChange): MembershipChange {
         val following = next(membership)
         return MembershipChange(following.membership, changedRecords + following.changedRecords)
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/VmRecord.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/VmRecord.kt
@@ -3,26 +3,26 @@
 import dev.kumquatknot.core.identity.DataCentre
 import dev.kumquatknot.core.identity.VmName
 
-/** Condition of a VM as nodes pass it on. At the same incarnation a later constant overrides an earlier one. */
+/** Condition of a VM in gossip. At the same incarnation, a later constant overrides an earlier one. */
 public enum class VmCondition {
-    /** Serves and may take new work. */
+    /** Responds and accepts new work. */
     LIVE,
 
-    /** Answered neither a probe nor an indirect one; it has a while to refute this. */
+    /** Responded neither to a direct nor to an indirect probe; can refute this until the suspicion times out. */
     SUSPECTED,
 
-    /** Finishes what is in flight and takes no new work. */
+    /** Finishes the work in flight and accepts no new work. */
     LEAVING,
 
-    /** Did not refute the suspicion, or has gone. */
+    /** Did not refute the suspicion in time, or stopped responding while leaving. */
     FAILED,
 }
 
 /**
- * What nodes tell each other about a VM.
+ * State of a VM that nodes exchange by gossip.
  *
  * @property address host and port at which the node serves other nodes.
- * @property incarnation raised only by the VM itself, to refute what others say of it.
+ * @property incarnation counter that only the VM itself raises, to refute records about it from others.
  */
 public data class VmRecord(
     val name: VmName,
@@ -31,10 +31,10 @@
     val incarnation: Long,
     val condition: VmCondition,
 ) {
-    /** Tells whether this record is newer than [other] of the same VM. */
+    /** Returns whether this record replaces [other] of the same VM. */
     public fun overrides(other: VmRecord): Boolean =
         incarnation > other.incarnation || (incarnation == other.incarnation && condition > other.condition)
 
-    /** Tells whether new work may go to the VM. */
+    /** Whether the VM may receive new work. */
     public val takesNewWork: Boolean get() = condition == VmCondition.LIVE || condition == VmCondition.SUSPECTED
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/pooling/ConnectionTable.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/pooling/ConnectionTable.kt
@@ -5,76 +5,77 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Number of one connection, unique within its [ConnectionTable]. */
+/** Identifier of a connection, unique within its [ConnectionTable]. */
 @JvmInline
 public value class ConnectionNumber(public val value: Long)
 
-/** What a connection is taken for. */
+/** Purpose for which a connection is acquired. */
 public enum class ConnectionUse {
-    /** One batch that begins and ends its own transaction. */
+    /** A single batch that begins and ends its own transaction. */
     BATCH,
 
-    /** An interactive transaction, which keeps its connection between statements. */
+    /** An interactive transaction, which holds its connection between statements. */
     TRANSACTION,
 }
 
-/** Result of asking a [ConnectionTable] for a connection. */
+/** Result of acquiring a connection from a [ConnectionTable]. */
 public sealed interface Acquisition {
-    /** The open connection [number] is taken. */
+    /** The open connection [number] is assigned to the caller. */
     public data class Reuse(val number: ConnectionNumber) : Acquisition
 
-    /** A new connection is to be opened as [number]; its outcome is told to the table. */
+    /** The caller must open a connection as [number] and report the outcome to the table. */
     public data class Open(val number: ConnectionNumber) : Acquisition
 
-    /** No connection is free now; one may be later, at the latest worth trying after [retryAfter] if that is given. */
+    /** No connection is available now; if [retryAfter] is given, opening one may be tried again after it. */
     public data class Wait(val retryAfter: Duration? = null) : Acquisition
 
-    /** As many transactions as allowed hold a connection. */
+    /** The maximum number of transactions already hold a connection. */
     public data object TooManyTransactions : Acquisition
 
-    /** The table has been given up. */
+    /** The table was deactivated by [ConnectionTable.giveUp]. */
     public data object GivenUp : Acquisition
 }
 
 /**
- * Limits of a [ConnectionTable].
+ * Limits and timeouts of a [ConnectionTable].
  *
- * @property reservedForControl connections of the member that the pool leaves to control calls.
- * @property concurrentOpens connections that may be opening at the same time.
- * @property idleTimeout time after which an unused connection is closed.
- * @property greatestAge time after which a connection is closed when it is given back.
- * @property openBackoff first pause after a failed open; it doubles up to [greatestOpenBackoff].
+ * @property reservedForControl connections to the member that are reserved for control calls.
+ * @property concurrentOpens maximum number of connections that are opening at the same time.
+ * @property idleTimeout time after which an idle connection is closed.
+ * @property maximumAge age from which a connection is closed when it is released or idle.
+ * @property openBackoff delay after the first failed open; doubles with each further failure, up to
+ * [maximumOpenBackoff].
  */
 public data class PoolingPolicy(
     val reservedForControl: Int = 2,
     val concurrentOpens: Int = 2,
     val idleTimeout: Duration = 1.minutes,
-    val greatestAge: Duration = 30.minutes,
+    val maximumAge: Duration = 30.minutes,
     val openBackoff: Duration = 50.milliseconds,
-    val greatestOpenBackoff: Duration = 2.seconds,
+    val maximumOpenBackoff: Duration = 2.seconds,
 )
 
 /**
- * Connections of a table by what they do.
+ * Number of connections of a table by state.
  *
- * @property opening those taken for batches or transactions that are still opening.
+ * @property opening connections assigned to a batch or transaction that are still opening.
  */
 public data class ConnectionCounts(val opening: Int, val idle: Int, val batches: Int, val transactions: Int) {
-    /** All connections that count against the member's limit. */
+    /** All connections that count towards the limit, including those that are opening. */
     val total: Int get() = idle + batches + transactions
 }
 
 /**
- * The connections that one VM holds to one member.
+ * Bookkeeping of the connections that one VM holds to one member.
  *
- * Never more than the limit are open or opening, few open at the same time, and the connection used last is used next,
- * so that connections which the load does not need go idle and are closed. Batches always find room: transactions hold
- * at most what the member's slots leave over.
+ * Limits the connections that are open or opening, and those that open at the same time. The connection released last
+ * is reused first, so that surplus connections stay idle and are closed. Transactions hold at most the limit minus the
+ * member's slots, so that batches always find a connection.
  *
- * Not safe for use by several threads at once. The caller opens and closes connections as the results say.
+ * Not thread-safe. The table does no input or output: the caller opens and closes connections as the results require.
  *
- * @param connections connections that the member accepts in all.
- * @param slots statements that the member runs at the same time.
+ * @param connections maximum number of connections that the member accepts.
+ * @param slots number of statements that the member runs at the same time.
  */
 public class ConnectionTable(
     private val connections: Int,
@@ -89,35 +90,35 @@
     private var batches = 0
     private var transactions = 0
     private var failedOpens = 0
-    private var noOpenBefore = Duration.ZERO
+    private var nextOpenAt = Duration.ZERO
     private var givenUp = false
 
-    /** Connections that the pool may hold now. */
+    /** Maximum number of connections now. */
     public val limit: Int get() = (minOf(share, connections) - policy.reservedForControl).coerceAtLeast(0)
 
-    /** Transactions that may hold a connection at the same time now. */
+    /** Maximum number of transactions that hold a connection now. */
     public val transactionLimit: Int get() = (limit - slots).coerceAtLeast(0)
 
-    /** Connections by what they do. */
+    /** Current number of connections by state. */
     public val counts: ConnectionCounts get() = ConnectionCounts(opening, idle.size, batches, transactions)
 
-    /** Asks for a connection for [use]. */
+    /** Acquires a connection for [use]. */
     public fun acquire(use: ConnectionUse, now: Duration): Acquisition = when {
         givenUp -> Acquisition.GivenUp
         use == ConnectionUse.TRANSACTION && transactions >= transactionLimit -> Acquisition.TooManyTransactions
         idle.isNotEmpty() -> reuse(use)
         entries.size >= limit || opening >= policy.concurrentOpens -> Acquisition.Wait()
-        now < noOpenBefore -> Acquisition.Wait(noOpenBefore - now)
+        now < nextOpenAt -> Acquisition.Wait(nextOpenAt - now)
         else -> open(use, now)
     }
 
-    /** Notes that the connection was opened; it is in use. False where it is no longer wanted and is to be closed. */
+    /** Records that the connection was opened and is in use. Returns false if the caller must close it instead. */
     public fun opened(number: ConnectionNumber, now: Duration): Boolean {
         val entry = entry(number)
         check(entry.opening) { "connection $number is not opening" }
         entry.opening = false
         entry.openedAt = now
-        entry.answeredAt = now
+        entry.lastResponseAt = now
         opening--
         failedOpens = 0
         if (!givenUp) return true
@@ -125,65 +126,65 @@
         return false
     }
 
-    /** Notes that the connection could not be opened. */
+    /** Records that the connection could not be opened, and delays the next open. */
     public fun openFailed(number: ConnectionNumber, now: Duration) {
         val entry = entry(number)
         check(entry.opening) { "connection $number is not opening" }
         opening--
         remove(entry)
-        val pause = policy.openBackoff * (1 shl minOf(failedOpens, GREATEST_DOUBLINGS))
-        noOpenBefore = now + minOf(pause, policy.greatestOpenBackoff)
+        val pause = policy.openBackoff * (1 shl minOf(failedOpens, MAXIMUM_DOUBLINGS))
+        nextOpenAt = now + minOf(pause, policy.maximumOpenBackoff)
         failedOpens++
     }
 
     /**
-     * Gives a connection back that is known [clean], or is to be closed where it is not. Returns the connections to
-     * close.
+     * Releases a connection; it can be reused only if it is [clean], without leftover session state. Returns the
+     * connections to close.
      */
     public fun giveBack(number: ConnectionNumber, clean: Boolean, now: Duration): List<ConnectionNumber> {
         val entry = entry(number)
         check(!entry.opening && !entry.idle) { "connection $number is not in use" }
-        val keep = clean && !givenUp && entries.size <= limit && now - entry.openedAt < policy.greatestAge
+        val keep = clean && !givenUp && entries.size <= limit && now - entry.openedAt < policy.maximumAge
         if (!keep) {
             remove(entry)
             return listOf(number)
         }
-        leaveUse(entry)
+        uncountUse(entry)
         entry.idle = true
-        entry.answeredAt = now
+        entry.lastResponseAt = now
         idle.addLast(entry)
         return emptyList()
     }
 
     /**
-     * Drops a connection that stayed silent past its deadline, and with it the unused ones that have been quiet at
-     * least as long: what lost track of one has probably lost track of them. Returns the connections to close.
+     * Removes a connection that did not respond before its deadline, and the idle ones whose last response is at least
+     * as old: whatever broke the one has probably broken them too. Returns the connections to close.
      */
     public fun drop(number: ConnectionNumber): List<ConnectionNumber> {
         val silent = entry(number)
         check(!silent.opening && !silent.idle) { "connection $number is not in use" }
         remove(silent)
-        return listOf(number) + closeIdle { it.answeredAt <= silent.answeredAt }
+        return listOf(number) + closeIdle { it.lastResponseAt <= silent.lastResponseAt }
     }
 
-    /** Sets how many of the member's connections this VM may hold, and returns the connections to close. */
+    /** Sets how many of the member's connections this VM may hold. Returns the connections to close. */
     public fun changeShare(share: Int): List<ConnectionNumber> {
         this.share = share
         return closeExcess()
     }
 
-    /** Returns the connections to close because they went unused for too long or are too old. */
+    /** Removes the connections that have been idle for too long or are too old, and returns them to be closed. */
     public fun trim(now: Duration): List<ConnectionNumber> = closeIdle {
-        now - it.answeredAt >= policy.idleTimeout || now - it.openedAt >= policy.greatestAge
+        now - it.lastResponseAt >= policy.idleTimeout || now - it.openedAt >= policy.maximumAge
     }
 
-    /** Gives the member up: nothing is taken any more. Returns the unused connections, which are to be closed. */
+    /** Deactivates the table: no connection can be acquired. Returns the idle connections, which must be closed. */
     public fun giveUp(): List<ConnectionNumber> {
         givenUp = true
         return closeIdle { true }
     }
 
-    /** Takes the member up again after [giveUp]. */
+    /** Reactivates the table after [giveUp]. */
     public fun takeUp() {
         givenUp = false
     }
@@ -191,7 +192,7 @@
     private fun reuse(use: ConnectionUse): Acquisition {
         val entry = idle.removeLast()
         entry.idle = false
-        enterUse(entry, use)
+        countUse(entry, use)
         return Acquisition.Reuse(entry.number)
     }
 
@@ -199,21 +200,21 @@
         val entry = Entry(ConnectionNumber(++lastNumber), use, now)
         entries[entry.number] = entry
         opening++
-        enterUse(entry, use)
+        countUse(entry, use)
         return Acquisition.Open(entry.number)
     }
 
-    private fun enterUse(entry: Entry, use: ConnectionUse) {
+    private fun countUse(entry: Entry, use: ConnectionUse) {
         entry.use = use
         if (use == ConnectionUse.BATCH) batches++ else transactions++
     }
 
-    private fun leaveUse(entry: Entry) {
+    private fun uncountUse(entry: Entry) {
         if (entry.use == ConnectionUse.BATCH) batches-- else transactions--
     }
 
     private fun remove(entry: Entry) {
-        if (!entry.idle) leaveUse(entry)
+        if (!entry.idle) uncountUse(entry)
         entries.remove(entry.number)
     }
 
@@ -240,10 +241,10 @@
     private class Entry(val number: ConnectionNumber, var use: ConnectionUse, var openedAt: Duration) {
         var opening = true
         var idle = false
-        var answeredAt = openedAt
+        var lastResponseAt = openedAt
     }
 
     private companion object {
-        const val GREATEST_DOUBLINGS = 10
+        const val MAXIMUM_DOUBLINGS = 10
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/GatewaySelectionSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/GatewaySelectionSpec.kt
@@ -28,7 +28,7 @@
     @Nested
     inner class `the order of VMs` {
         @Test
-        fun `starts in the member's data centre and then stays in its region`() {
+        fun `prefers the member's data centre, then its region`() {
             val order = selection.order("member-1", DataCentre("a-2"), fleet).map { it.dataCentre.value }
             expectThat(order.take(155)).all { isEqualTo("a-2") }
             expectThat(order.drop(155).take(155)).all { isEqualTo("a-1") }
@@ -36,7 +36,7 @@
         }
 
         @Test
-        fun `has the gateway first`() {
+        fun `starts with the gateway`() {
             members.take(50).forEach { (name, dataCentre) ->
                 expectThat(selection.order(name, dataCentre, fleet).first())
                     .isEqualTo(selection.gateway(name, dataCentre, fleet))
@@ -50,27 +50,27 @@
     }
 
     @Nested
-    inner class `in a fleet of 620 VMs before 2820 members` {
+    inner class `in a fleet of 620 VMs and 2820 members` {
         @Test
-        fun `a VM that goes moves only the members that it held`() {
+        fun `a VM that leaves moves only the members that it held`() {
             val before = gateways(fleet)
-            val gone = fleet[7].name
+            val removed = fleet[7].name
             val after = gateways(fleet - fleet[7])
             val moved = members.map { it.first }.filter { before[it] != after[it] }
-            expectThat(moved).all { get { before[this] }.isEqualTo(gone) }
+            expectThat(moved).all { get { before[this] }.isEqualTo(removed) }
         }
 
         @Test
-        fun `members spread so that no VM holds more than four times the mean`() {
+        fun `no VM holds more than four times the mean number of members`() {
             val most = gateways(fleet).values.groupingBy { it }.eachCount().values.max()
             expectThat(most).isLessThan(4 * 2820 / 620)
         }
 
         @Test
-        fun `a lost data centre moves its members to the other one of the region`() {
-            val left = fleet.filter { it.dataCentre != DataCentre("a-1") }
+        fun `a failed data centre moves its members to the other one of the region`() {
+            val remaining = fleet.filter { it.dataCentre != DataCentre("a-1") }
             val after = members.filter { it.second == DataCentre("a-1") }
-                .map { selection.gateway(it.first, it.second, left)!!.dataCentre.value }
+                .map { selection.gateway(it.first, it.second, remaining)!!.dataCentre.value }
             expectThat(after).all { isEqualTo("a-2") }
         }
     }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/MembershipSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/MembershipSpec.kt
@@ -33,7 +33,7 @@
     @Nested
     inner class `records of other VMs` {
         @Test
-        fun `go forward by incarnation and then by condition`() {
+        fun `are ordered by incarnation and then by condition`() {
             val left = membershipWith(other, vm("other", 0, VmCondition.LEAVING), vm("other", 0, VmCondition.LIVE))
             expectThat(left.condition("other")).isEqualTo(VmCondition.LEAVING)
             val back = left.merged(listOf(vm("other", 1)), Duration.ZERO).membership
@@ -41,16 +41,16 @@
         }
 
         @Test
-        fun `are news only when they change`() {
+        fun `are sent on only if they changed`() {
             val change = membershipWith(other).merged(listOf(other), 1.seconds)
             expectThat(change.changedRecords).isEmpty()
         }
     }
 
     @Nested
-    inner class `a silent VM` {
+    inner class `an unresponsive VM` {
         @Test
-        fun `is suspected, takes new work still, and fails after the suspicion timeout`() {
+        fun `is suspected, still receives new work, and fails after the suspicion timeout`() {
             val suspected = membershipWith(other).withFailedProbe(other.name, 1.seconds).membership
             expectThat(suspected.condition("other")).isEqualTo(VmCondition.SUSPECTED)
             expectThat(suspected.usable.map { it.name.value }).containsExactly("other", "self")
@@ -60,30 +60,32 @@
         }
 
         @Test
-        fun `that was paused refutes the suspicion when it hears of it`() {
+        fun `that was paused refutes the suspicion when it receives it`() {
             val paused = Membership(other)
             val change = paused.merged(listOf(vm("other", 0, VmCondition.SUSPECTED)), 9.seconds)
             expectThat(change.changedRecords).containsExactly(vm("other", 1))
         }
 
         @Test
-        fun `that was leaving has gone`() {
+        fun `that was leaving fails immediately`() {
             val leaving = membershipWith(vm("other", 0, VmCondition.LEAVING))
             expectThat(leaving.withFailedProbe(other.name, 1.seconds).membership.condition("other"))
                 .isEqualTo(VmCondition.FAILED)
         }
 
         @Test
-        fun `is forgotten in the end`() {
+        fun `is removed after the retention time`() {
             val failed = membershipWith(vm("other", 0, VmCondition.FAILED))
-            expectThat(failed.withTimeoutsApplied(Membership.FORGET_AFTER).membership.record(other.name)).isNull()
+            expectThat(
+                failed.withTimeoutsApplied(Membership.FAILED_VM_RETENTION).membership.record(other.name),
+            ).isNull()
         }
     }
 
     @Nested
     inner class `the platform's list` {
         @Test
-        fun `adds VMs and marks leaving ones`() {
+        fun `adds VMs and marks those that are leaving`() {
             val change = membershipWith(other).listed(
                 listOf(listed("new"), listed("other", VmState.LEAVING)),
                 emptySet(),
@@ -94,7 +96,7 @@
         }
 
         @Test
-        fun `never revives a VM that peers know to be leaving or failed`() {
+        fun `never revives a VM that is leaving or failed according to gossip`() {
             val membership = membershipWith(vm("a", 0, VmCondition.LEAVING), vm("b", 2, VmCondition.FAILED))
             val after = membership.listed(listOf(listed("a"), listed("b")), emptySet(), 1.seconds).membership
             expectThat(after.condition("a")).isEqualTo(VmCondition.LEAVING)
@@ -102,7 +104,7 @@
         }
 
         @Test
-        fun `names leaving backend servers, which are no VMs of the proxy`() {
+        fun `marks backend servers as leaving without adding them as VMs`() {
             val server = MemberName("inventory-a")
             val after = Membership(self)
                 .listed(listOf(listed("inventory-a", VmState.LEAVING)), setOf(server), Duration.ZERO).membership
@@ -114,7 +116,7 @@
     @Nested
     inner class `this VM` {
         @Test
-        fun `takes no new work once it leaves, whatever others say`() {
+        fun `receives no new work while leaving, even if others report it as failed`() {
             val left = Membership(self).leave().membership
             expectThat(left.usable).isEmpty()
             val refuted = left.merged(listOf(vm("self", 0, VmCondition.FAILED)), Duration.ZERO).membership
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/pooling/ConnectionTableSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/pooling/ConnectionTableSpec.kt
@@ -26,12 +26,12 @@
     @Nested
     inner class `limits` {
         @Test
-        fun `leave a reserve for control calls`() {
+        fun `reserve connections for control calls`() {
             expectThat(table.limit).isEqualTo(18)
         }
 
         @Test
-        fun `keep room for batches beside transactions`() {
+        fun `leave connections for batches beside transactions`() {
             repeat(15) { open(ConnectionUse.TRANSACTION) }
             expectThat(
                 table.acquire(ConnectionUse.TRANSACTION, Duration.ZERO),
@@ -40,13 +40,13 @@
         }
 
         @Test
-        fun `bound the connections that open at the same time`() {
+        fun `apply to the connections that are opening at the same time`() {
             repeat(2) { table.acquire(ConnectionUse.BATCH, Duration.ZERO) }
             expectThat(table.acquire(ConnectionUse.BATCH, Duration.ZERO)).isA<Acquisition.Wait>()
         }
 
         @Test
-        fun `close unused connections when the share shrinks`() {
+        fun `close idle connections when the share shrinks`() {
             val first = open()
             val second = open()
             table.giveBack(first, clean = true, Duration.ZERO)
@@ -55,17 +55,17 @@
         }
 
         @Test
-        fun `hold in every order of events`() {
+        fun `hold in random sequences of events`() {
             val seed = System.getProperty("kumquatknot.test.seed")?.toLong() ?: 20261204L
             println("seed $seed")
-            repeat(200) { ConnectionTableWalk(Random(seed + it)).walk(steps = 300) }
+            repeat(200) { RandomConnectionTableRun(Random(seed + it)).run(steps = 300) }
         }
     }
 
     @Nested
     inner class `reuse` {
         @Test
-        fun `takes the connection used last`() {
+        fun `prefers the connection released last`() {
             val first = open()
             val second = open()
             table.giveBack(second, clean = true, 1.milliseconds)
@@ -81,17 +81,17 @@
         }
 
         @Test
-        fun `drops with a silent connection those that have been quiet as long`() {
-            val silent = open(now = 1.seconds)
+        fun `drops with an unresponsive connection the idle ones without a later response`() {
+            val unresponsive = open(now = 1.seconds)
             val older = open(now = Duration.ZERO)
             val newer = open(now = 1.seconds)
             table.giveBack(older, clean = true, 1.seconds)
             table.giveBack(newer, clean = true, 2.seconds)
-            expectThat(table.drop(silent)).containsExactly(silent, older)
+            expectThat(table.drop(unresponsive)).containsExactly(unresponsive, older)
         }
 
         @Test
-        fun `closes connections that the load no longer needs`() {
+        fun `closes connections after the idle timeout`() {
             val number = open()
             table.giveBack(number, clean = true, Duration.ZERO)
             expectThat(table.trim(59.seconds)).isEmpty()
@@ -102,7 +102,7 @@
     @Nested
     inner class `failed opens` {
         @Test
-        fun `are followed by pauses that double`() {
+        fun `cause a delay that doubles each time`() {
             repeat(2) { attempt ->
                 val now = 1.seconds * attempt
                 table.openFailed((table.acquire(ConnectionUse.BATCH, now) as Acquisition.Open).number, now)
@@ -112,9 +112,9 @@
     }
 
     @Nested
-    inner class `giving up` {
+    inner class `deactivation` {
         @Test
-        fun `closes unused connections at once and the others when they come back`() {
+        fun `closes idle connections immediately and the others when they are released`() {
             val used = open()
             val unused = open()
             val opening = (table.acquire(ConnectionUse.BATCH, Duration.ZERO) as Acquisition.Open).number
@@ -127,14 +127,14 @@
     }
 }
 
-/** Random events on a [ConnectionTable], with its limits checked after each. */
-private class ConnectionTableWalk(private val random: Random) {
+/** Applies random events to a [ConnectionTable] and checks its limits after each one. */
+private class RandomConnectionTableRun(private val random: Random) {
     private val table = ConnectionTable(connections = 10, slots = 3)
     private val opening = ArrayList<ConnectionNumber>()
     private val used = ArrayList<ConnectionNumber>()
     private var now = Duration.ZERO
 
-    fun walk(steps: Int) = repeat(steps) {
+    fun run(steps: Int) = repeat(steps) {
         val before = table.counts.total
         step()
         now += random.nextInt(2000).milliseconds
