--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/BodyAggregator.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/BodyAggregator.kt
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpMessage
 import io.netty.handler.codec.http.HttpObjectAggregator
 
-/** Joins the parts of a request; answers a body above [maximumBytes] with 413 and closes the connection. */
+/** Aggregates the parts of a request; responds to a body above [maximumBytes] with 413 and closes the connection. */
 internal class BodyAggregator(private val maximumBytes: Int) : HttpObjectAggregator(maximumBytes) {
     override fun handleOversizedMessage(context: ChannelHandlerContext, oversized: HttpMessage) {
         val problem = TransportProblem.BODY_TOO_LARGE
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/ReceiveTimer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/ReceiveTimer.kt
@@ -8,39 +8,41 @@
 import kotlin.time.Duration
 
 /**
- * Bounds the time from the first byte of a request to its last, so that a sender that trickles bytes does not hold a
- * connection for ever. All state belongs to the event loop of the connection.
+ * Limits the time from the first byte of a request to its last, so that a slow sender can't hold a connection
+ * indefinitely. Confined to the event loop of the connection.
  */
-internal class ReceiveTimer(private val receiveTime: Duration) : ChannelInboundHandlerAdapter() {
+internal class ReceiveTimer(private val receiveTimeout: Duration) : ChannelInboundHandlerAdapter() {
     private var timer: Future<*>? = null
 
-    /** Whether a request has arrived in part. */
+    /** Whether a request has been received in part. */
     val isReceiving: Boolean get() = timer != null
 
     override fun channelRead(context: ChannelHandlerContext, message: Any) {
         if (timer == null) {
-            val millis = receiveTime.inWholeMilliseconds
-            timer = context.executor().schedule({ giveUp(context) }, millis, TimeUnit.MILLISECONDS)
+            val millis = receiveTimeout.inWholeMilliseconds
+            timer = context.executor().schedule({ sendTimeout(context) }, millis, TimeUnit.MILLISECONDS)
         }
         context.fireChannelRead(message)
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        received()
+        stop()
         context.fireChannelInactive()
     }
 
-    /** Takes note that the whole request has arrived. */
-    fun received() {
+    /** Stops the timer because the request is complete or the connection is closed. */
+    fun stop() {
         timer?.cancel(false)
         timer = null
     }
 
-    private fun giveUp(context: ChannelHandlerContext) {
+    private fun sendTimeout(context: ChannelHandlerContext) {
         timer = null
         context
             .channel()
-            .writeAndFlush(TransportProblem.REQUEST_TIMEOUT.response("the request did not arrive within $receiveTime"))
+            .writeAndFlush(
+                TransportProblem.REQUEST_TIMEOUT.response("the request did not arrive within $receiveTimeout"),
+            )
             .addListener(ChannelFutureListener.CLOSE)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/BrokenRequestHandler.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/RequestErrorHandler.kt
@@ -5,8 +5,10 @@
 import io.netty.channel.ChannelInboundHandlerAdapter
 import java.io.IOException
 
-/** Answers a request that could not be handed to the handler, such as one with an invalid target, and closes. */
-internal class BrokenRequestHandler : ChannelInboundHandlerAdapter() {
+/**
+ * Responds with 400 to a request that cannot be passed to the handler, such as one with an invalid target, and closes.
+ */
+internal class RequestErrorHandler : ChannelInboundHandlerAdapter() {
     override fun exceptionCaught(context: ChannelHandlerContext, cause: Throwable) {
         if (cause is IOException) {
             context.close()
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/RequestGate.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/RequestPipelineHandler.kt
@@ -14,17 +14,17 @@
 import kotlin.time.Duration
 
 /**
- * Lets one request of a connection at a time through to the workers and holds pipelined ones back in order. Closes the
- * connection when it is idle, when its input is no HTTP, and after the last answer of a stopping server.
+ * Passes one request of a connection at a time to the workers and queues pipelined ones in order. Closes the connection
+ * after the idle timeout, on input that is not valid HTTP, and after the last response of a stopping server.
  *
- * All state belongs to the event loop of the connection.
+ * Confined to the event loop of the connection.
  */
-internal class RequestGate(
+internal class RequestPipelineHandler(
     private val receiveTimer: ReceiveTimer,
     private val stopping: () -> Boolean,
 ) : ChannelDuplexHandler() {
-    private val waiting = ArrayDeque<FullHttpRequest>()
-    private var busy = false
+    private val queued = ArrayDeque<FullHttpRequest>()
+    private var requestInProgress = false
     private lateinit var context: ChannelHandlerContext
 
     override fun handlerAdded(context: ChannelHandlerContext) {
@@ -32,70 +32,70 @@
     }
 
     override fun channelRead(context: ChannelHandlerContext, message: Any) {
-        receiveTimer.received()
+        receiveTimer.stop()
         val request = message as FullHttpRequest
-        if (busy) waiting.addLast(request) else admit(request)
+        if (requestInProgress) queued.addLast(request) else forward(request)
     }
 
-    /** Stops here: the workers need no notice of it. */
+    /** Does not forward the event, which the workers don't use. */
     override fun channelReadComplete(context: ChannelHandlerContext) = Unit
 
     override fun write(context: ChannelHandlerContext, message: Any, promise: ChannelPromise) {
         if (message is FullHttpResponse && stopping()) {
             message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
         }
-        context.write(message, promise.unvoid().addListener { answered() })
+        context.write(message, promise.unvoid().addListener { responseWritten() })
     }
 
     override fun userEventTriggered(context: ChannelHandlerContext, event: Any) {
-        if (event is IdleStateEvent && !busy) context.close()
+        if (event is IdleStateEvent && !requestInProgress) context.close()
     }
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        releaseWaiting()
+        releaseQueued()
         context.fireChannelInactive()
     }
 
-    /** Closes the connection once it has no request, at the earliest after [lingerTime]. */
+    /** Closes the connection after [lingerTime] if it has no request then. */
     fun drain(lingerTime: Duration) {
         context.executor().schedule(::closeIfIdle, lingerTime.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun admit(request: FullHttpRequest) {
+    private fun forward(request: FullHttpRequest) {
         if (request.decoderResult().isFailure) {
-            refuse(request)
+            reject(request)
             return
         }
-        busy = true
+        requestInProgress = true
         context.channel().config().isAutoRead = false
         context.fireChannelRead(request)
     }
 
-    private fun answered() {
-        busy = false
+    private fun responseWritten() {
+        requestInProgress = false
         if (!context.channel().isActive) {
-            releaseWaiting()
+            releaseQueued()
             return
         }
-        val next = waiting.removeFirstOrNull()
-        if (next != null) admit(next) else context.channel().config().isAutoRead = true
+        val nextRequest = queued.removeFirstOrNull()
+        if (nextRequest != null) forward(nextRequest) else context.channel().config().isAutoRead = true
     }
 
-    private fun refuse(request: FullHttpRequest) {
+    private fun reject(request: FullHttpRequest) {
         val cause = request.decoderResult().cause()
         request.release()
-        releaseWaiting()
+        releaseQueued()
         val problem =
             if (cause is TooLongFrameException) TransportProblem.HEADERS_TOO_LARGE else TransportProblem.INVALID_MESSAGE
         context.writeAndFlush(problem.response(cause.message.orEmpty())).addListener(ChannelFutureListener.CLOSE)
     }
 
     private fun closeIfIdle() {
-        if (!busy && !receiveTimer.isReceiving) context.close()
+        if (!requestInProgress && !receiveTimer.isReceiving) context.close()
     }
 
-    private fun releaseWaiting() {
-        waiting.forEach { it.release() }
-        waiting.clear()
+    private fun releaseQueued() {
+        queued.forEach { it.release() }
+        queued.clear()
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/TransportProblem.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/TransportProblem.kt
@@ -11,7 +11,9 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.JsonPrimitive
 
-/** A request that HTTP itself refuses, before any handler sees it. The connection is closed after the answer. */
+/**
+ * Reason for rejecting a request at the HTTP layer, before it reaches a handler. The response closes the connection.
+ */
 internal enum class TransportProblem(private val status: HttpResponseStatus, private val type: String) {
     BODY_TOO_LARGE(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too-large"),
     HEADERS_TOO_LARGE(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "too-large"),
@@ -19,7 +21,7 @@
     INVALID_MESSAGE(HttpResponseStatus.BAD_REQUEST, "invalid-request"),
     ;
 
-    /** Returns the answer as problem details. */
+    /** Returns the error response with problem details in JSON. */
     fun response(detail: String): FullHttpResponse {
         val body = Json.encodeToString(JsonObject.serializer(), problem(detail)).toByteArray()
         val response = DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body))
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServer.kt
@@ -28,17 +28,18 @@
 /**
  * Settings of a [WorkerPoolServer].
  *
- * @property port port to listen on; 0 lets the system choose.
- * @property workers requests that the handler may serve at the same time.
- * @property spareWorkers threads beyond [workers], so that a handler that refuses more than [workers] requests at a
- * time always finds a thread to refuse them at once.
- * @property connections open connections in all; more are closed at once.
- * @property maximumBodyBytes largest body of a request; a larger one is answered with 413.
- * @property maximumHeaderBytes largest header section of a request; a larger one is answered with 431.
- * @property idleTime time without a byte in either direction after which a connection without request is closed.
- * @property receiveTime time from the first byte of a request to its last; a slower one is answered with 408.
- * @property lingerTime time for which a stopping server still answers on connections that are open but idle.
- * @property stopTimeout time that requests in flight have to finish when the server stops.
+ * @property port listening port; 0 selects an ephemeral port.
+ * @property workers number of requests that the handler may serve at the same time.
+ * @property spareWorkers threads in addition to [workers], so that a handler which refuses requests above [workers] has
+ * a free thread to refuse them immediately.
+ * @property connections maximum number of open connections; further ones are closed immediately.
+ * @property maximumBodyBytes maximum size of a request body; a larger one is answered with 413.
+ * @property maximumHeaderBytes maximum size of the header section; a larger one is answered with 431.
+ * @property idleTimeout time without traffic after which a connection without a request in progress is closed.
+ * @property receiveTimeout maximum time from the first byte of a request to its last; a slower one is answered with
+ * 408.
+ * @property lingerTime time for which a stopping server still accepts requests on open idle connections.
+ * @property stopTimeout time within which requests in flight can finish when the server stops.
  */
 public data class WorkerPoolSettings(
     val address: String = "0.0.0.0",
@@ -48,18 +49,19 @@
     val connections: Int = 20_000,
     val maximumBodyBytes: Int = 1_048_576,
     val maximumHeaderBytes: Int = 81_920,
-    val idleTime: Duration = 300.seconds,
-    val receiveTime: Duration = 30.seconds,
+    val idleTimeout: Duration = 300.seconds,
+    val receiveTimeout: Duration = 30.seconds,
     val lingerTime: Duration = 1.seconds,
     val stopTimeout: Duration = 30.seconds,
 )
 
 /**
- * An http4k server on Netty whose handler runs on a bounded pool of workers and may block. Reading and writing stay on
- * the event loop, so idle connections cost no thread. A connection has one request at a time with the handler;
- * pipelined ones wait in order, so each answer belongs to its request.
+ * An http4k server on Netty whose handler runs on a bounded pool of worker threads and may block. Input and output stay
+ * on the event loops, so idle connections need no thread. The handler gets one request of a connection at a time;
+ * pipelined ones are queued in order, so that responses match their requests.
  *
- * A stop closes the listener, answers what is in flight with `Connection: close`, and then closes what is left.
+ * Stopping closes the listener, completes the requests in flight with `Connection: close`, and then closes the
+ * remaining connections.
  */
 public class WorkerPoolServer(private val settings: WorkerPoolSettings) : ServerConfig {
     override val stopMode: StopMode = StopMode.Immediate
@@ -67,7 +69,7 @@
     @Volatile
     private var server: RunningWorkerPoolServer? = null
 
-    /** Open connections of the server that was made last. */
+    /** Open connections of the server that was created last. */
     public val openConnections: Int get() = server?.openConnections ?: 0
 
     /** Returns a server that runs [http]; its `start` returns once the port is open. */
@@ -80,7 +82,7 @@
     private val handler: HttpHandler,
 ) : Http4kServer {
     private val acceptors = NioEventLoopGroup(1, DefaultThreadFactory("http-acceptor", true))
-    private val eventLoops = NioEventLoopGroup(EVENT_LOOPS, DefaultThreadFactory("http-event-loop", true))
+    private val eventLoops = NioEventLoopGroup(EVENT_LOOP_THREADS, DefaultThreadFactory("http-event-loop", true))
     private val workers =
         UnorderedThreadPoolEventExecutor(
             settings.workers + settings.spareWorkers,
@@ -100,7 +102,7 @@
             ServerBootstrap()
                 .group(acceptors, eventLoops)
                 .channel(NioServerSocketChannel::class.java)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childHandler(
@@ -116,12 +118,12 @@
     override fun stop(): Http4kServer {
         stopping = true
         listener.close().awaitUninterruptibly()
-        gates().forEach { it.drain(settings.lingerTime) }
+        pipelineHandlers().forEach { it.drain(settings.lingerTime) }
         awaitConnections(settings.lingerTime + settings.stopTimeout)
         connections.close().awaitUninterruptibly()
         listOf(acceptors, eventLoops, workers).forEach {
-            it.shutdownGracefully(QUIET_MILLIS, SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
-            it.terminationFuture().awaitUninterruptibly(SHUTDOWN_MILLIS)
+            it.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+            it.terminationFuture().awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS)
         }
         stopped.countDown()
         return this
@@ -137,33 +139,34 @@
             return
         }
         connections.add(channel)
-        val receiveTimer = ReceiveTimer(settings.receiveTime)
+        val receiveTimer = ReceiveTimer(settings.receiveTimeout)
         channel
             .pipeline()
-            .addLast(IdleStateHandler(0, 0, settings.idleTime.inWholeMilliseconds, TimeUnit.MILLISECONDS))
+            .addLast(IdleStateHandler(0, 0, settings.idleTimeout.inWholeMilliseconds, TimeUnit.MILLISECONDS))
             .addLast(receiveTimer)
-            .addLast(HttpServerCodec(MAXIMUM_LINE_BYTES, settings.maximumHeaderBytes, CHUNK_BYTES))
+            .addLast(HttpServerCodec(MAXIMUM_REQUEST_LINE_BYTES, settings.maximumHeaderBytes, CHUNK_BYTES))
             .addLast(HttpServerKeepAliveHandler())
             .addLast(BodyAggregator(settings.maximumBodyBytes))
-            .addLast(RequestGate(receiveTimer) { stopping })
+            .addLast(RequestPipelineHandler(receiveTimer) { stopping })
             .addLast(workers, Http4kChannelHandler(handler))
-            .addLast(BrokenRequestHandler())
+            .addLast(RequestErrorHandler())
     }
 
-    private fun gates(): List<RequestGate> = connections.mapNotNull { it.pipeline().get(RequestGate::class.java) }
+    private fun pipelineHandlers(): List<RequestPipelineHandler> =
+        connections.mapNotNull { it.pipeline().get(RequestPipelineHandler::class.java) }
 
     private fun awaitConnections(time: Duration) {
         connections.newCloseFuture().awaitUninterruptibly(time.inWholeMilliseconds)
     }
 
     private companion object {
-        const val EVENT_LOOPS = 2
-        const val BACKLOG = 1024
-        const val MAXIMUM_LINE_BYTES = 8_192
+        const val EVENT_LOOP_THREADS = 2
+        const val ACCEPT_BACKLOG = 1024
+        const val MAXIMUM_REQUEST_LINE_BYTES = 8_192
         const val CHUNK_BYTES = 65_536
 
-        /** Time without a task after which a pool ends; the last events of closed connections pass between pools. */
-        const val QUIET_MILLIS = 100L
-        const val SHUTDOWN_MILLIS = 2_000L
+        /** Quiet period before a pool shuts down, since the last events of closed connections pass between pools. */
+        const val SHUTDOWN_QUIET_PERIOD_MILLIS = 100L
+        const val SHUTDOWN_TIMEOUT_MILLIS = 2_000L
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/IdleConnectionMeasurement.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/IdleConnectionMeasurement.kt
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Measures what idle keep-alive connections cost: memory for each, and the time of a request beside them. Not part of
- * the build; run it with `mvn test -pl kumquatknot-proxy -am -Dtest=IdleConnectionMeasurement`.
+ * Measures the cost of idle keep-alive connections: memory per connection and the latency of a request beside them. Not
+ * part of the build; run it with `mvn test -pl kumquatknot-proxy -am -Dtest=IdleConnectionMeasurement`.
  */
 @Timeout(120)
 class IdleConnectionMeasurement {
@@ -25,7 +25,7 @@
     private val request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".toByteArray()
 
     @Test
-    fun `memory of idle connections and time of a request beside them`() {
+    fun `memory per idle connection and latency of a request beside them`() {
         val server = handler.asServer(WorkerPoolServer(WorkerPoolSettings(address = "127.0.0.1"))).start()
         val address = InetSocketAddress("127.0.0.1", server.port())
         val probe = SocketChannel.open(address)
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
@@ -68,7 +68,7 @@
 
     private fun get(path: String) = "GET $path HTTP/1.1\r\nHost: a\r\n\r\n"
 
-    /** Reads one answer: the status line, the headers and as many bytes of body as it has. */
+    /** Reads one response: the status line, the headers and a body of the length that they give. */
     private fun Socket.answer(): String {
         val head = StringBuilder()
         while (!head.endsWith("\r\n\r\n")) {
@@ -95,9 +95,9 @@
     }
 
     @Nested
-    inner class `answers of one connection` {
+    inner class `responses of one connection` {
         @Test
-        fun `keep the order of pipelined requests even when the first is slow`() {
+        fun `keep the order of pipelined requests even if the first is slow`() {
             val socket = connect(start())
             socket.send(get("/slow") + (1..20).joinToString("") { get("/fast-$it") })
             entered.await(10, TimeUnit.SECONDS)
@@ -123,7 +123,7 @@
     @Nested
     inner class `the pool of workers` {
         @Test
-        fun `runs no more requests at once than it has workers`() {
+        fun `runs no more requests at the same time than it has threads`() {
             val running = AtomicInteger()
             val most = AtomicInteger()
             val handler: HttpHandler = { request ->
@@ -153,7 +153,7 @@
     @Nested
     inner class `limits` {
         @Test
-        fun `a body beyond the limit is answered and the connection closed`() {
+        fun `a body above the limit gets an error response and closes the connection`() {
             val socket = connect(start(WorkerPoolSettings(maximumBodyBytes = 10)))
             socket.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\nabcdefghijk")
             expectThat(socket.answer()).startsWith("HTTP/1.1 413").contains("urn:kumquatknot:problem:too-large")
@@ -161,7 +161,7 @@
         }
 
         @Test
-        fun `headers beyond the limit are answered and the connection closed`() {
+        fun `headers above the limit get an error response and close the connection`() {
             val socket = connect(start(WorkerPoolSettings(maximumHeaderBytes = 200)))
             socket.send("GET / HTTP/1.1\r\nHost: a\r\nX: ${"x".repeat(300)}\r\n\r\n")
             expectThat(socket.answer()).startsWith("HTTP/1.1 431")
@@ -169,7 +169,7 @@
         }
 
         @Test
-        fun `input that is no HTTP is answered and the connection closed`() {
+        fun `input that is not HTTP gets an error response and closes the connection`() {
             val socket = connect(start())
             socket.send("\u0001\u0002 nonsense\r\n\r\n")
             expectThat(socket.answer()).startsWith("HTTP/1.1 400")
@@ -177,8 +177,8 @@
         }
 
         @Test
-        fun `an idle connection is closed, one that waits for its answer is not`() {
-            val port = start(WorkerPoolSettings(idleTime = 200.milliseconds))
+        fun `an idle connection is closed, one that waits for its response is not`() {
+            val port = start(WorkerPoolSettings(idleTimeout = 200.milliseconds))
             val waiting = connect(port).also { it.send(get("/slow")) }
             entered.await(10, TimeUnit.SECONDS)
             expectThat(connect(port).isClosedByPeer()).isTrue()
@@ -187,15 +187,15 @@
         }
 
         @Test
-        fun `a request that trickles in is answered and the connection closed`() {
-            val socket = connect(start(WorkerPoolSettings(receiveTime = 100.milliseconds)))
+        fun `a request that arrives too slowly gets an error response and closes the connection`() {
+            val socket = connect(start(WorkerPoolSettings(receiveTimeout = 100.milliseconds)))
             socket.send("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc")
             expectThat(socket.answer()).startsWith("HTTP/1.1 408")
             expectThat(socket.isClosedByPeer()).isTrue()
         }
 
         @Test
-        fun `connections beyond the limit are closed at once`() {
+        fun `connections above the limit are closed immediately`() {
             val port = start(WorkerPoolSettings(connections = 2))
             val kept = List(2) { connect(port).also { it.send(get("/a")) } }
             kept.forEach { expectThat(it.answer()).endsWith("/a:") }
@@ -212,7 +212,7 @@
         private val starts = listOf("", "GET ", "POST / HTTP/1.1\r\n", "GET / HTTP/1.1\r\nContent-Length: ", get("/a"))
 
         @Test
-        fun `get a typed answer or a closed connection, and never an error of the server`() {
+        fun `get a client error response or a closed connection, never a server error`() {
             val port = start(WorkerPoolSettings(maximumBodyBytes = 1_000, maximumHeaderBytes = 500))
             val random = Random(seed)
             repeat(300) { round ->
@@ -240,7 +240,7 @@
     @Nested
     inner class `a graceful stop` {
         @Test
-        fun `finishes what is in flight and refuses new connections`() {
+        fun `finishes requests in flight and refuses new connections`() {
             val port = start(WorkerPoolSettings(lingerTime = 50.milliseconds, stopTimeout = 20.seconds))
             val busy = connect(port).also { it.send(get("/slow")) }
             entered.await(10, TimeUnit.SECONDS)
@@ -253,7 +253,7 @@
         }
 
         @Test
-        fun `still answers on open connections while it lingers`() {
+        fun `still serves open connections during the linger time`() {
             val port = start(WorkerPoolSettings(lingerTime = 2.seconds))
             val idle = connect(port).also { it.send(get("/a")) }
             idle.answer()
@@ -265,7 +265,7 @@
         }
 
         @Test
-        fun `serves a request that had arrived in part`() {
+        fun `serves a request that had been received in part`() {
             val port = start(WorkerPoolSettings(lingerTime = 500.milliseconds))
             val partial = connect(port).also {
                 it.send("POST /part HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nab")
@@ -280,7 +280,7 @@
         }
 
         @Test
-        fun `gives up on requests that do not end in time`() {
+        fun `closes connections whose requests do not end in time`() {
             val port = start(WorkerPoolSettings(lingerTime = 10.milliseconds, stopTimeout = 100.milliseconds))
             connect(port).send(get("/slow"))
             entered.await(10, TimeUnit.SECONDS)
