--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/Event.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/Event.kt
@@ -3,10 +3,10 @@
 import io.github.oshai.kotlinlogging.Level
 
 /**
- * Catalogue of the events that a node logs. A number is never given to another event; `docs/EVENTS.md` lists them all.
+ * Catalogue of the events that a node logs, as listed in `docs/EVENTS.md`. The number of an event is never reused.
  *
- * @property number identity of the event, stable across versions; the hundreds group the events by topic.
- * @property text what happened, without variable parts; those stand in the fields of the log line.
+ * @property number identifier of the event, stable across versions; the hundreds digit is the topic.
+ * @property text message without variable parts, which are separate fields of the log line.
  */
 public enum class Event(public val number: Int, public val level: Level, public val text: String) {
     NODE_STARTED(100, Level.INFO, "The node has started"),
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/EventLog.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/EventLog.kt
@@ -4,14 +4,14 @@
 import io.github.oshai.kotlinlogging.KotlinLogging
 
 /**
- * Writes numbered events as structured log lines: the field `event` holds the number, `eventName` the name, and the
- * variable parts are fields of their own. [LogSetup] turns a line into one JSON object on the standard
- * output. The logger is made by the first event, so that a starting node listens before it sets up its log.
+ * Writes events as structured log lines: the field `event` holds the number, `eventName` the name, and the variable
+ * parts are separate fields. [LogSetup] writes each line as one JSON object to standard output. The logger is created
+ * by the first event, so that a starting node listens before it initialises logging.
  */
 public class EventLog(logger: KLogger? = null) {
     private val logger by lazy { logger ?: KotlinLogging.logger("dev.kumquatknot.events") }
 
-    /** Logs [event] with its variable parts [fields] and the [cause], where there is one. */
+    /** Logs [event] with its variable parts in [fields] and an optional [cause]. */
     public fun log(event: Event, vararg fields: Pair<String, Any?>, cause: Throwable? = null) {
         logger.at(event.level) {
             message = event.text
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/LogSetup.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/event/LogSetup.kt
@@ -13,20 +13,23 @@
 import net.logstash.logback.fieldnames.LogstashFieldNames
 
 /**
- * Sends one JSON object a line to the standard output, through a queue that drops lines rather than block.
+ * Configures Logback to write one JSON object per line to standard output, through a queue that drops lines instead of
+ * blocking.
  *
- * It stands in code since parsing a configuration file takes a starting node 300 ms of processor time. A file that the
- * system property `logback.configurationFile` names goes before it. `KUMQUATKNOT_LOG_LEVEL`, a system property or else
- * a variable of the environment, sets the level.
+ * The configuration is code because parsing a configuration file takes 300 ms of CPU time at the start of a node. A
+ * file named by the system property `logback.configurationFile` takes precedence. The level is set by
+ * `KUMQUATKNOT_LOG_LEVEL`, as a system property or else an environment variable.
  */
 public class LogSetup : ContextAwareBase(), Configurator {
     override fun configure(context: LoggerContext): ExecutionStatus {
-        val hasFile = System.getProperty(FILE_PROPERTY) != null || javaClass.getResource(TEST_FILE) != null
+        val hasFile =
+            System.getProperty(CONFIGURATION_FILE_PROPERTY) != null ||
+                javaClass.getResource(TEST_CONFIGURATION_RESOURCE) != null
         if (hasFile) return ExecutionStatus.INVOKE_NEXT_IF_ANY
         val queue = AsyncAppender().apply {
             this.context = context
             name = "asynchronous"
-            queueSize = QUEUE_SIZE
+            queueSize = QUEUE_LINES
             discardingThreshold = 0
             isNeverBlock = true
             addAppender(console(context))
@@ -57,11 +60,11 @@
     }
 
     private companion object {
-        const val FILE_PROPERTY = "logback.configurationFile"
-        const val TEST_FILE = "/logback-test.xml"
+        const val CONFIGURATION_FILE_PROPERTY = "logback.configurationFile"
+        const val TEST_CONFIGURATION_RESOURCE = "/logback-test.xml"
         const val LEVEL_VARIABLE = "KUMQUATKNOT_LOG_LEVEL"
 
-        /** Lines that may wait; about a second's worth when everything is rejected. */
-        const val QUEUE_SIZE = 4_096
+        /** Capacity of the queue; about one second of log lines when everything is rejected. */
+        const val QUEUE_LINES = 4_096
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/metric/Exposition.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/metric/Exposition.kt
@@ -4,7 +4,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import java.io.ByteArrayOutputStream
 
-/** Returns all metrics of this registry in the text format of Prometheus. */
+/** Returns all metrics of this registry in the Prometheus text format. */
 internal fun PrometheusRegistry.exposition(): String {
     val text = ByteArrayOutputStream()
     PrometheusTextFormatWriter(false).write(text, scrape())
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/metric/NodeMetrics.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/metric/NodeMetrics.kt
@@ -17,12 +17,12 @@
 import kotlin.time.DurationUnit
 
 /**
- * Metrics of one node. All names start with `kumquatknot_`; times are in seconds.
+ * Prometheus metrics of one node. All names start with `kumquatknot_`; times are in seconds.
  *
- * Request metrics are labelled with team, kind and rank, which come from the configuration alone: what a caller sends
- * never makes a new label.
+ * Request metrics are labelled with team, kind and rank from the configuration only, so that callers can't create new
+ * label values.
  *
- * @param registry where the metrics are registered; one for each node.
+ * @param registry registry of the metrics; each node needs its own.
  */
 public class NodeMetrics(private val registry: PrometheusRegistry = PrometheusRegistry()) {
     private val requestDuration =
@@ -31,7 +31,7 @@
             .help("Time from the arrival of a request at this VM to its final answer")
             .labelNames("team", "kind", "rank", "outcome")
             .classicOnly()
-            .classicExponentialUpperBounds(SHORTEST_REQUEST_SECONDS, REQUEST_FACTOR, REQUEST_BUCKETS)
+            .classicExponentialUpperBounds(FIRST_REQUEST_BUCKET_SECONDS, REQUEST_BUCKET_FACTOR, REQUEST_BUCKETS)
             .register(registry)
     private val reads =
         Counter.builder()
@@ -75,7 +75,7 @@
             .help("Time from the last answer of the old primary to the first of the new one")
             .labelNames("database")
             .classicOnly()
-            .classicLinearUpperBounds(FAILOVER_WIDTH_SECONDS, FAILOVER_WIDTH_SECONDS, FAILOVER_BUCKETS)
+            .classicLinearUpperBounds(FAILOVER_BUCKET_WIDTH_SECONDS, FAILOVER_BUCKET_WIDTH_SECONDS, FAILOVER_BUCKETS)
             .register(registry)
     private val memberConnections =
         Gauge.builder()
@@ -89,12 +89,12 @@
             .help("Number of the configuration in force")
             .register(registry)
 
-    /** Counts an answered request of a known kind. */
+    /** Records a completed request of a known kind. */
     public fun requestCompleted(team: TeamName, kind: KindConfiguration, duration: Duration) {
         observe(team, kind, Effect.COMPLETED, duration)
     }
 
-    /** Counts a failed request of a known kind; [reason] is the type of its problem. */
+    /** Records a failed request of a known kind; [reason] is its problem type. */
     public fun requestFailed(
         team: TeamName,
         kind: KindConfiguration,
@@ -109,34 +109,34 @@
         if (effect == Effect.UNKNOWN) unknownOutcomes.labelValues(team.value, kind.name.value).inc()
     }
 
-    /** Counts a request whose team or kind is not known. */
+    /** Counts a request that was rejected before its team and kind were known. */
     public fun callerRejected(reason: FailureReason) {
         rejectedCallers.labelValues(reason.label).inc()
     }
 
-    /** Counts a read that a member served in [role]. */
+    /** Counts a completed read that a member served in [role]. */
     public fun readServed(team: TeamName, kind: KindConfiguration, role: MemberRole) {
         reads.labelValues(team.value, kind.name.value, role.name.lowercase()).inc()
     }
 
-    /** Counts the first answer to an idempotency key given again. */
+    /** Counts a stored response that was returned again for a repeated idempotency key. */
     public fun answerRepeated(team: TeamName, kind: KindConfiguration) {
         repeatedAnswers.labelValues(team.value, kind.name.value).inc()
     }
 
-    /** Counts a promotion that this VM ordered; [gap] is the time without a primary, where it is known. */
+    /** Counts a promotion that this VM ordered; [gap] is the time without a primary, if it is known. */
     public fun promotionEnded(database: DatabaseName, won: Boolean, gap: Duration?) {
         failovers.labelValues(database.value, if (won) "won" else "lost").inc()
         gap?.let { failoverDuration.labelValues(database.value).observe(it.toDouble(DurationUnit.SECONDS)) }
     }
 
-    /** Sets the open connections to [member]: [idle] ones, and [busy] ones that serve a request or a transaction. */
+    /** Sets the number of open connections to [member]; [busy] ones serve a request or a transaction. */
     public fun memberConnections(member: MemberName, idle: Int, busy: Int) {
         memberConnections.labelValues(member.value, "idle").set(idle.toDouble())
         memberConnections.labelValues(member.value, "busy").set(busy.toDouble())
     }
 
-    /** Forgets the connections of a [member] that this VM no longer serves. */
+    /** Removes the connection gauges of a [member] that this VM no longer serves. */
     public fun memberReleased(member: MemberName) {
         memberConnections.remove(member.value, "idle")
         memberConnections.remove(member.value, "busy")
@@ -147,12 +147,12 @@
         configurationNumber.set(number.toDouble())
     }
 
-    /** Adds a gauge called [name] whose [value] is read whenever the metrics are asked for. */
+    /** Registers a gauge called [name] whose [value] is read on each scrape. */
     public fun gauge(name: String, help: String, value: () -> Double) {
         GaugeWithCallback.builder().name(name).help(help).callback { it.call(value()) }.register(registry)
     }
 
-    /** Returns all metrics in the text format of Prometheus. */
+    /** Returns all metrics in the Prometheus text format. */
     public fun exposition(): String = registry.exposition()
 
     private fun observe(team: TeamName, kind: KindConfiguration, effect: Effect, duration: Duration) {
@@ -167,10 +167,10 @@
         /** Content type of [exposition]. */
         public const val CONTENT_TYPE: String = PrometheusTextFormatWriter.CONTENT_TYPE
 
-        private const val SHORTEST_REQUEST_SECONDS = 0.001
-        private const val REQUEST_FACTOR = 2.0
+        private const val FIRST_REQUEST_BUCKET_SECONDS = 0.001
+        private const val REQUEST_BUCKET_FACTOR = 2.0
         private const val REQUEST_BUCKETS = 15
-        private const val FAILOVER_WIDTH_SECONDS = 0.5
+        private const val FAILOVER_BUCKET_WIDTH_SECONDS = 0.5
         private const val FAILOVER_BUCKETS = 24
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/event/EventSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/event/EventSpec.kt
@@ -22,12 +22,12 @@
     @Nested
     inner class `the catalogue` {
         @Test
-        fun `gives each number once`() {
+        fun `has unique numbers`() {
             expectThat(Event.entries.map { it.number }.toSet().size).isEqualTo(Event.entries.size)
         }
 
         @Test
-        fun `agrees with the documented one`() {
+        fun `matches the documented catalogue`() {
             val documented =
                 Path.of("../docs/EVENTS.md").readLines()
                     .filter { Regex("\\| \\d+ .*").matches(it) }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/metric/NodeMetricsSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/metric/NodeMetricsSpec.kt
@@ -49,7 +49,7 @@
         }
 
         @Test
-        fun `of unknown callers make no label of their own`() {
+        fun `of unknown callers are counted by reason only`() {
             metrics.callerRejected(FailureReason.UNAUTHENTICATED)
             expectThat(metrics.exposition())
                 .contains("""kumquatknot_rejected_callers_total{reason="unauthenticated"} 1.0""")
@@ -59,7 +59,7 @@
     @Nested
     inner class `failovers and connections` {
         @Test
-        fun `are shown and forgotten`() {
+        fun `are exposed and removed`() {
             metrics.promotionEnded(DatabaseName("courses-1"), won = true, gap = 2.seconds)
             metrics.memberConnections(MemberName("courses-1-a"), idle = 3, busy = 4)
             expectThat(metrics.exposition())
@@ -72,7 +72,7 @@
     }
 
     @Test
-    fun `gauges of others are read when asked`() {
+    fun `registered gauges are read on each exposition`() {
         var value = 1.0
         metrics.gauge("kumquatknot_test", "A test") { value }
         value = 5.0
