--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/RouterSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/RouterSpec.kt
@@ -155,11 +155,11 @@
     }
 
     @Nested
-    inner class `in whatever state the group is` {
+    inner class `in random states of the group` {
         private val seed = System.getProperty("kumquatknot.test.seed")?.toLong() ?: 20261204L
 
         @Test
-        fun `no member is named that is known not to be able to serve`() {
+        fun `no route contains a member that is known to be unable to serve`() {
             println("seed $seed")
             repeat(5000) { check(Random(seed + it)) }
         }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
@@ -212,7 +212,7 @@
         private val starts = listOf("", "GET ", "POST / HTTP/1.1\r\n", "GET / HTTP/1.1\r\nContent-Length: ", get("/a"))
 
         @Test
-        fun `get a client error response or a closed connection, never a server error`() {
+        fun `get a typed response or a closed connection, never a server error`() {
             val port = start(WorkerPoolSettings(maximumBodyBytes = 1_000, maximumHeaderBytes = 500))
             val random = Random(seed)
             repeat(300) { round ->
