--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyKeeper.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyKeeper.kt
@@ -51,14 +51,14 @@
     /** Takes a higher token, which fences off every earlier order, and passes it on; null where the duty is lost. */
     public fun advance(done: (Long?) -> Unit) {
         executor.execute {
-            lease.advanced()?.let(::write)
+            lease.advancedRecord()?.let(::write)
             done(heldToken)
         }
     }
 
     /** Gives the duty up, so that another VM takes it at once. */
     public fun release() {
-        lease.released()?.let(::write)
+        lease.releasedRecord()?.let(::write)
     }
 
     private fun look() {
@@ -86,7 +86,7 @@
             { failure -> refused(failure) },
             { stored ->
                 version = stored.version
-                lease.written(record, sentAt)
+                lease.recordWrite(record, sentAt)
             },
         )
         noteChange()
@@ -101,7 +101,7 @@
 
     private fun noteChange() {
         val now = clock.elapsed()
-        val value = lease.tokenAt(now)
+        val value = lease.fencingTokenAt(now)
         token = value?.let { HeldToken(it, lease.heldUntil ?: now) }
         if (holds == (value != null)) return
         holds = value != null
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverRunner.kt
@@ -2,7 +2,7 @@
 
 import dev.kumquatknot.core.databasegroup.FailoverDecision
 import dev.kumquatknot.core.databasegroup.FailoverOrder
-import dev.kumquatknot.core.databasegroup.MemberFacts
+import dev.kumquatknot.core.databasegroup.ObservedMember
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.platform.OrderPromotion
 import dev.kumquatknot.core.platform.PromotionAnswer
@@ -65,7 +65,7 @@
                 environment.schedule(Duration.ZERO) {
                     if (advanced == null || advanced <= tokenUsed) {
                         ordering -= group.group
-                        decision.settled()
+                        decision.clearOrder()
                     } else {
                         tokenUsed = advanced
                         send(group, decision, next, advanced)
@@ -99,7 +99,7 @@
         answer: PromotionAnswer,
     ) {
         ordering -= group.group
-        if (answer is PromotionAnswer.Refused || answer is PromotionAnswer.Unavailable) decision.settled()
+        if (answer is PromotionAnswer.Refused || answer is PromotionAnswer.Unavailable) decision.clearOrder()
         environment.events.log(
             Event.FAILOVER_ANSWERED,
             "group" to group.group.value,
@@ -108,7 +108,7 @@
         )
     }
 
-    private fun MemberLane.facts() = MemberFacts(
+    private fun MemberLane.facts() = ObservedMember(
         name = member.name,
         leaving = leavingSince != null,
         answeredAt = health.answeredAt,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
@@ -49,7 +49,7 @@
                     member = lane.member.name,
                     attempts = facts.attempts + 1,
                     required = needed,
-                    proofAge = group.proofs.latestAskedAt?.let { environment.now() - it },
+                    proofAge = group.proofs.latestProofRequestedAt?.let { environment.now() - it },
                 )
                 done(SearchResult.Found(lane, needed))
             }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
@@ -52,7 +52,7 @@
     private val node: ProxyNode,
     private val handle: HandleRequest,
     private val identity: NodeIdentity,
-    private val parts: NodeParts,
+    private val parts: NodeDependencies,
     private val addresses: ListenAddresses,
     keys: SigningKeys,
     pages: OperatorPages,
