--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
@@ -5,9 +5,9 @@
 import dev.kumquatknot.core.identity.DataCentre
 import dev.kumquatknot.core.identity.MemberName
 import dev.kumquatknot.core.identity.Region
-import dev.kumquatknot.core.routing.GroupFacts
+import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberFacts
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
 import dev.kumquatknot.core.routing.RequestNeeds
 import dev.kumquatknot.core.routing.Route
@@ -68,11 +68,11 @@
         return ReadTarget(member, maxOf(waitForPoint, waitForAge))
     }
 
-    private fun groupFacts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupFacts {
+    private fun groupFacts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupSnapshot {
         val cached = groups.group(database.name)
         val leavingMembers = leaving()
         val members = database.members.filter { it.name == cached.primary || it.lagWithin(cached, request) }
-        return GroupFacts(
+        return GroupSnapshot(
             term = cached.term,
             primary = cached.primary,
             members = members.map { it.toMemberFacts(cached, leavingMembers, now) },
@@ -89,10 +89,10 @@
         cached: CachedGroup,
         leavingMembers: Set<MemberName>,
         now: Duration,
-    ): MemberFacts {
+    ): MemberSnapshot {
         val cachedMember = cached.members[name]
         val failedRecently = cachedMember?.lastFailureAt?.let { now - it < FAILURE_AVOIDANCE_TIME } ?: false
-        return MemberFacts(
+        return MemberSnapshot(
             member = name,
             availability = when {
                 name in leavingMembers -> MemberAvailability.LEAVING
