--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyKeeper.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyLeaseRenewer.kt
@@ -19,12 +19,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Keeps the lease of one duty in the platform's store, or waits for it. Its calls block the [executor], which must have
- * one thread.
+ * Acquires and renews the lease of one duty in the platform's store. Its store calls block the [executor], which must
+ * have one thread.
  *
- * @param key where the duty's record lies.
+ * @param key key of the duty's record in the store.
  */
-public class DutyKeeper(
+public class DutyLeaseRenewer(
     private val key: String,
     self: String,
     private val store: ConditionalStore,
@@ -32,43 +32,46 @@
     private val clock: Clock,
     private val events: EventLog,
 ) {
-    private val lease = DutyLease(self, VALIDITY)
+    private val lease = DutyLease(self, LEASE_DURATION)
     private var version = ObjectVersion.ABSENT
-    private var holds = false
+    private var wasHeld = false
 
     @Volatile
     private var token: HeldToken? = null
 
-    /** The fencing token while this process may act, and null otherwise. */
+    /** The fencing token while this process holds the lease; null otherwise. */
     public val heldToken: Long? get() = token?.takeIf { clock.elapsed() < it.until }?.value
 
-    /** Starts to look after the lease. */
+    /** Starts the periodic renewal or acquisition of the lease. */
     public fun start() {
-        val interval = INTERVAL.inWholeMilliseconds
-        executor.scheduleWithFixedDelay(::look, 0, interval, TimeUnit.MILLISECONDS)
+        val interval = RENEWAL_INTERVAL.inWholeMilliseconds
+        executor.scheduleWithFixedDelay(::renewOrObserve, 0, interval, TimeUnit.MILLISECONDS)
     }
 
-    /** Takes a higher token, which fences off every earlier order, and passes it on; null where the duty is lost. */
-    public fun advance(done: (Long?) -> Unit) {
+    /**
+     * Writes a higher fencing token, which invalidates all earlier orders; [done] gets it, or null if the lease is
+     * lost.
+     */
+    public fun advanceToken(done: (Long?) -> Unit) {
         executor.execute {
             lease.advanced()?.let(::write)
             done(heldToken)
         }
     }
 
-    /** Gives the duty up, so that another VM takes it at once. */
+    /** Releases the lease, so that another VM can acquire it at once. */
     public fun release() {
         lease.released()?.let(::write)
     }
 
-    private fun look() {
+    private fun renewOrObserve() {
         val renewed = lease.renewed()
-        if (renewed != null) write(renewed) else observe(store::readStale)
+        if (renewed != null) write(renewed) else observeRecord(store::readStale)
     }
 
-    /** Looks at the record; before this process takes it over it reads the record as it is now. */
-    private fun observe(read: (String) -> Either<StoreFailure, StoredObject?>) {
-        val stored = read(key).fold({ return noteChange() }, { it })
+    /** Observes the record with [read]; before it acquires the lease, it confirms this by a consistent read. */
+    private fun observeRecord(read: (String) -> Either<StoreFailure, StoredObject?>) {
+        val stored = read(key).fold({ return updateHeldToken() }, { it })
         val step = lease.observe(stored?.let(::decode), clock.elapsed())
         if (step is LeaseStep.Write) {
             store.read(key).onRight { current ->
@@ -77,35 +80,37 @@
                 if (confirmed is LeaseStep.Write) write(confirmed.record)
             }
         }
-        noteChange()
+        updateHeldToken()
     }
 
     private fun write(record: DutyRecord) {
         val sentAt = clock.elapsed()
         store.write(key, Json.encodeToString(DutyRecord.serializer(), record), version).fold(
-            { failure -> refused(failure) },
+            { failure -> handleWriteFailure(failure) },
             { stored ->
                 version = stored.version
                 lease.written(record, sentAt)
             },
         )
-        noteChange()
+        updateHeldToken()
     }
 
-    /** A lost answer may have taken effect; then the next write finds its own record under another version. */
-    private fun refused(failure: StoreFailure) {
+    /**
+     * A write without an answer may have taken effect; the next write then conflicts with this process's own record.
+     */
+    private fun handleWriteFailure(failure: StoreFailure) {
         val current = (failure as? StoreFailure.Conflict)?.current ?: return
         version = current.version
         lease.observe(decode(current), clock.elapsed())
     }
 
-    private fun noteChange() {
+    private fun updateHeldToken() {
         val now = clock.elapsed()
         val value = lease.tokenAt(now)
         token = value?.let { HeldToken(it, lease.heldUntil ?: now) }
-        if (holds == (value != null)) return
-        holds = value != null
-        events.log(if (holds) Event.DUTY_TAKEN else Event.DUTY_LOST, "duty" to key, "token" to value)
+        if (wasHeld == (value != null)) return
+        wasHeld = value != null
+        events.log(if (wasHeld) Event.DUTY_TAKEN else Event.DUTY_LOST, "duty" to key, "token" to value)
     }
 
     private fun decode(stored: StoredObject): DutyRecord? = try {
@@ -118,10 +123,10 @@
     private data class HeldToken(val value: Long, val until: Duration)
 
     private companion object {
-        /** Time without a renewal after which another VM takes over. */
-        val VALIDITY = 3_000.milliseconds
+        /** Time without a renewal after which another VM may acquire the lease. */
+        val LEASE_DURATION = 3_000.milliseconds
 
-        /** Three renewals fit into the validity. */
-        val INTERVAL = 900.milliseconds
+        /** Three renewals fit into [LEASE_DURATION]. */
+        val RENEWAL_INTERVAL = 900.milliseconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverCoordinator.kt
@@ -13,11 +13,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Orders failovers while this VM holds that duty. Decisions run on the node's event loop, the orders on [executor].
+ * Orders failovers while this VM holds the lease. Decisions run on the node's event loop, blocking
+ * orders on [executor].
  */
-public class FailoverRunner(
+public class FailoverCoordinator(
     private val node: InteractiveNode,
-    private val keeper: DutyKeeper,
+    private val leaseRenewer: DutyLeaseRenewer,
     private val holder: String,
     private val order: OrderPromotion,
     private val executor: Executor,
@@ -25,49 +26,49 @@
 ) {
     private val environment = node.nodeEnvironment
     private val decisions = HashMap<DatabaseName, FailoverDecision>()
-    private val ordering = HashSet<DatabaseName>()
-    private var tokenUsed = 0L
-    private var holdsSince: Duration? = null
+    private val groupsBeingOrdered = HashSet<DatabaseName>()
+    private var lastUsedToken = 0L
+    private var leaseHeldSince: Duration? = null
 
-    /** Starts to look at the groups. */
+    /** Starts the periodic check of all groups. */
     public fun start() {
-        environment.schedule(INTERVAL) {
+        environment.schedule(CHECK_INTERVAL) {
             start()
-            look()
+            checkGroups()
         }
     }
 
-    private fun look() {
-        val token = keeper.heldToken
+    private fun checkGroups() {
+        val token = leaseRenewer.heldToken
         node.decidesFailovers = token != null
         if (token == null) {
-            holdsSince = null
+            leaseHeldSince = null
             decisions.clear()
             return
         }
         val now = environment.now()
-        val since = holdsSince ?: now.also { holdsSince = it }
-        if (now - since < SETTLING) return
-        node.groupLanes.filter { it.group !in ordering }.forEach { decide(it, token, now) }
+        val since = leaseHeldSince ?: now.also { leaseHeldSince = it }
+        if (now - since < INITIAL_REPORT_TIME) return
+        node.groupPools.filter { it.group !in groupsBeingOrdered }.forEach { decide(it, token, now) }
     }
 
-    private fun decide(group: GroupLanes, token: Long, now: Duration) {
+    private fun decide(group: GroupPools, token: Long, now: Duration) {
         val decision = decisions.getOrPut(group.group) { FailoverDecision() }
-        val facts = group.all.map { it.facts() }
+        val facts = group.all.map { it.toFacts() }
         val next = decision.decide(facts, group.belief.primary, group.belief.isProved, now) ?: return
         decision.ordered(next.candidate, now)
-        ordering += group.group
-        if (token > tokenUsed) {
-            tokenUsed = token
+        groupsBeingOrdered += group.group
+        if (token > lastUsedToken) {
+            lastUsedToken = token
             send(group, decision, next, token)
         } else {
-            keeper.advance { advanced ->
+            leaseRenewer.advanceToken { advanced ->
                 environment.schedule(Duration.ZERO) {
-                    if (advanced == null || advanced <= tokenUsed) {
-                        ordering -= group.group
+                    if (advanced == null || advanced <= lastUsedToken) {
+                        groupsBeingOrdered -= group.group
                         decision.settled()
                     } else {
-                        tokenUsed = advanced
+                        lastUsedToken = advanced
                         send(group, decision, next, advanced)
                     }
                 }
@@ -75,7 +76,7 @@
         }
     }
 
-    private fun send(group: GroupLanes, decision: FailoverDecision, next: FailoverOrder, token: Long) {
+    private fun send(group: GroupPools, decision: FailoverDecision, next: FailoverOrder, token: Long) {
         metrics.failoverOrdered(next.reason)
         environment.events.log(
             Event.FAILOVER_ORDERED,
@@ -93,12 +94,12 @@
     }
 
     private fun answered(
-        group: GroupLanes,
+        group: GroupPools,
         decision: FailoverDecision,
         next: FailoverOrder,
         answer: PromotionAnswer,
     ) {
-        ordering -= group.group
+        groupsBeingOrdered -= group.group
         if (answer is PromotionAnswer.Refused || answer is PromotionAnswer.Unavailable) decision.settled()
         environment.events.log(
             Event.FAILOVER_ANSWERED,
@@ -108,7 +109,7 @@
         )
     }
 
-    private fun MemberLane.facts() = MemberFacts(
+    private fun MemberPool.toFacts() = MemberFacts(
         name = member.name,
         leaving = leavingSince != null,
         answeredAt = health.answeredAt,
@@ -120,9 +121,9 @@
     )
 
     private companion object {
-        val INTERVAL = 100.milliseconds
+        val CHECK_INTERVAL = 100.milliseconds
 
-        /** Time for the first reports of all members after this VM has taken the duty. */
-        val SETTLING = 500.milliseconds
+        /** Time that all members have to report first after this VM acquired the lease. */
+        val INITIAL_REPORT_TIME = 500.milliseconds
     }
 }
--- /dev/null
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
@@ -0,0 +1,99 @@
+package dev.kumquatknot.proxy.interactive
+
+import dev.kumquatknot.core.interactive.MemberCommand
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Polls members whose replies to statements are not recent enough: the primary for proofs of freshness, replicas for
+ * the ends of their logs. While a primary is suspected, all members are polled, so that its successor is found soon.
+ */
+internal class GroupPoller(private val environment: NodeEnvironment) {
+    private val pendingPolls = HashSet<MemberPool>()
+
+    /** Polls the members of [group] that are due; a VM that [decides] failovers polls the primary more often. */
+    fun poll(group: GroupPools, decides: Boolean) {
+        val now = environment.now()
+        val suspected = group.isPrimarySuspected(now)
+        group.all.forEach { pool ->
+            val needed = suspected || isPollDue(group, pool, now, decides)
+            if (needed && pool !in pendingPolls) sendPoll(pool, pollCommands(group, pool, decides))
+        }
+    }
+
+    private fun isPollDue(group: GroupPools, pool: MemberPool, now: Duration, decides: Boolean): Boolean {
+        val leads = group.leads(pool)
+        val since = if (leads) group.proofs.latestAskedAt else pool.health.answeredAt
+        val limit = when {
+            !leads -> REPLICA_POLL_AGE
+            decides -> DECIDER_PROOF_POLL_AGE
+            else -> PROOF_POLL_AGE
+        }
+        return since == null || !group.belief.isProved || pool.health.failures > 0 || now - since > limit
+    }
+
+    /**
+     * An accepted read-write transaction proves that the member leads and a refused one that it does not, without using
+     * a slot of the member. A report adds the connection count, and the received log position for failover decisions.
+     */
+    private fun pollCommands(group: GroupPools, pool: MemberPool, decides: Boolean): List<MemberCommand> {
+        val reportedAt = pool.health.reportedAt
+        val leads = group.belief.isProved && group.leads(pool) && pool.leavingSince == null
+        val isReportRecent = reportedAt != null && environment.now() - reportedAt < MAXIMUM_REPORT_AGE
+        return if (isReportRecent && (leads || !decides)) {
+            listOf(MemberCommand.Begin(readOnly = false), MemberCommand.Rollback)
+        } else {
+            listOf(MemberCommand.Report)
+        }
+    }
+
+    private fun GroupPools.isPrimarySuspected(now: Duration): Boolean {
+        val primary = primaryPool ?: return true
+        val provedAt = proofs.latestAskedAt
+        return primary.leavingSince != null ||
+            primary.health.failures > 0 ||
+            provedAt == null ||
+            now - provedAt > SUSPICION_AGE
+    }
+
+    private fun sendPoll(pool: MemberPool, pollCommands: List<MemberCommand>) {
+        pendingPolls += pool
+        pool.acquireLink { link ->
+            if (link == null) {
+                pendingPolls -= pool
+                val now = environment.now()
+                // If all connections that the member allows are in use, a missing connection is not a failure of the
+                // member.
+                val openingFor = pool.openingSince?.let { now - it }
+                val unanswered = openingFor != null && openingFor >= environment.limits.reportTimeout
+                if (unanswered) pool.health.recordFailure(now, refused = false)
+                return@acquireLink
+            }
+            link.run(pollCommands, environment.limits.reportTimeout) { result ->
+                pendingPolls -= pool
+                when (result) {
+                    is BatchResult.Answered -> pool.releaseLink(link)
+                    is BatchResult.Broken -> pool.health.recordFailure(environment.now(), refused = false)
+                }
+            }
+        }
+    }
+
+    private companion object {
+        /** Age of the newest proof above which the primary is polled; a fraction of the staleness that routes allow. */
+        val PROOF_POLL_AGE: Duration = 400.milliseconds
+
+        /** The same on a VM that decides failovers, which must detect a loss soon. */
+        val DECIDER_PROOF_POLL_AGE: Duration = 200.milliseconds
+
+        /** Age of the newest proof above which the primary is suspected, since a poll was not answered. */
+        val SUSPICION_AGE: Duration = PROOF_POLL_AGE * 2
+
+        /** Age up to which a reported connection count is accurate enough to open more connections. */
+        val MAXIMUM_REPORT_AGE: Duration = 3.seconds
+
+        /** Age of a replica's last answer above which it is polled. */
+        val REPLICA_POLL_AGE: Duration = 2.seconds
+    }
+}
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupLanes.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
@@ -18,129 +18,138 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The members of one group, and what this VM knows of its primary and of the age of its replicas' data. */
-internal class GroupLanes(
+/** Connection pools for the members of one group, with the believed primary and the proofs of replica freshness. */
+internal class GroupPools(
     val group: DatabaseName,
     private val environment: NodeEnvironment,
     private val isRemote: (DiscoveredMember) -> Boolean,
     private val connections: () -> Int,
-    private val onPrimaryUnknown: (GroupLanes) -> Unit,
+    private val onPrimaryUnknown: (GroupPools) -> Unit,
 ) {
-    private val lanes = LinkedHashMap<MemberName, MemberLane>()
+    private val pools = LinkedHashMap<MemberName, MemberPool>()
     private val placement = ReadPlacement()
 
     val belief = PrimaryBelief()
     val proofs = FreshnessProofs()
 
-    /** All lanes, also those of members that are leaving. */
-    val all: Collection<MemberLane> get() = lanes.values
+    /** All pools, including those of leaving members. */
+    val all: Collection<MemberPool> get() = pools.values
 
-    /** Takes over [members] as discovery has them now; members that it lost stay for a while. */
-    fun discovered(members: List<DiscoveredMember>) {
+    /**
+     * Applies [members] from discovery; members that are no longer listed stay until [InteractiveLimits.removalDelay].
+     */
+    fun updateMembers(members: List<DiscoveredMember>) {
         val now = environment.now()
         members.forEach { member ->
-            val known = lanes[member.name]
+            val known = pools[member.name]
             if (known != null && known.member.isSameLifeAs(member)) {
                 if (member.leaving && !known.member.leaving) logMember(Event.MEMBER_LEAVING, member)
-                known.describe(member)
+                known.updateMember(member)
             } else {
                 known?.close()
-                lanes[member.name] = MemberLane(member, environment, connections, ::observe).also { it.maintain() }
+                pools[member.name] = MemberPool(member, environment, connections, ::recordReply).also { it.maintain() }
                 logMember(Event.MEMBER_DISCOVERED, member)
             }
         }
         val names = members.map { it.name }.toSet()
-        lanes.values.filter { it.member.name !in names && it.missingSince == null }.forEach { it.missingSince = now }
+        pools.values.filter { it.member.name !in names && it.missingSince == null }.forEach { it.missingSince = now }
         belief.claim(members.singleOrNull { it.claimsPrimary }?.name)
     }
 
-    /** Drops members that discovery has not named for a while, and tends to the other lanes. */
+    /** Removes members that discovery has not listed for a while and maintains the other pools. */
     fun maintain() {
         val now = environment.now()
-        val gone = lanes.values.filter { lane ->
-            lane.missingSince?.let { now - it > environment.limits.goneAfter }
+        val gone = pools.values.filter { pool ->
+            pool.missingSince?.let { now - it > environment.limits.removalDelay }
                 ?: false
         }
-        gone.forEach { lane ->
-            lanes.remove(lane.member.name)
-            belief.disprove(lane.member.name, now)
-            logMember(Event.MEMBER_GONE, lane.member)
-            lane.close()
+        gone.forEach { pool ->
+            pools.remove(pool.member.name)
+            belief.disprove(pool.member.name, now)
+            logMember(Event.MEMBER_GONE, pool.member)
+            pool.close()
         }
-        lanes.values.forEach { it.maintain() }
+        pools.values.forEach { it.maintain() }
     }
 
-    /** Whether [lane] is that of the member believed to lead. */
-    fun leads(lane: MemberLane): Boolean = lane.member.name == belief.primary
+    /** Whether [pool] belongs to the believed primary. */
+    fun leads(pool: MemberPool): Boolean = pool.member.name == belief.primary
 
-    /** The lane of the member believed to lead, if it may get new work; null where none is known or it is lost. */
-    fun primary(): MemberLane? = primaryLane?.takeIf { lane ->
-        val leavingFor = lane.leavingSince?.let { environment.now() - it }
-        (leavingFor == null || leavingFor < environment.limits.leavingWrites) && primaryLostSince() == null
+    /**
+     * The pool of the believed primary if it may get new work; null if the primary is unknown, lost or leaving too
+     * long.
+     */
+    fun primary(): MemberPool? = primaryPool?.takeIf { pool ->
+        val leavingFor = pool.leavingSince?.let { environment.now() - it }
+        (leavingFor == null || leavingFor < environment.limits.leavingWriteTime) && primaryLostSince() == null
     }
 
-    /** The lane of the member believed to lead, whatever its state. */
-    val primaryLane: MemberLane? get() = belief.primary?.let { lanes[it] }
+    /** The pool of the believed primary, whatever its state. */
+    val primaryPool: MemberPool? get() = belief.primary?.let { pools[it] }
 
-    /** When the primary was seen last, where it is out of reach or unknown; null where it leads, or was never seen. */
+    /**
+     * Time of the last proof of the primary's lead if the primary is lost; null if it is not lost or was never proved.
+     */
     fun primaryLostSince(): Duration? {
         val seenAt = proofs.latestAskedAt ?: return null
-        val lane = primaryLane
-        val isDoubtful = lane == null || !belief.isProved || lane.health.failures > 0
-        return seenAt.takeIf { isDoubtful && environment.now() - it > LOST_AFTER }
+        val pool = primaryPool
+        val isSuspected = pool == null || !belief.isProved || pool.health.failures > 0
+        return seenAt.takeIf { isSuspected && environment.now() - it > PRIMARY_LOSS_TIMEOUT }
     }
 
-    /** Returns the point that a read of [route] needs at a replica; null where none is proved. */
+    /**
+     * Returns the point that a replica must have reached for a read of [route]; null if no recent enough one is proved.
+     */
     fun required(route: InteractiveRoute, own: HistoryPoint?): HistoryPoint? {
         val age = route.maximumStaleness - environment.limits.stalenessMargin
         val proved = proofs.required(environment.now(), age) ?: return null
         return if (route.consistency == ReadConsistency.READ_YOUR_WRITES && own != null && own > proved) own else proved
     }
 
-    /** Returns the best lane for a read that needs [required], without those in [tried]; null where there is none. */
-    fun reader(required: HistoryPoint, tried: Set<MemberName>): MemberLane? {
+    /** Returns the best pool for a read that needs [required], excluding members in [tried]; null if there is none. */
+    fun reader(required: HistoryPoint, tried: Set<MemberName>): MemberPool? {
         val now = environment.now()
-        val lost = primaryLane.takeIf { primaryLostSince() != null }
-        val candidates = lanes.values
+        val lost = primaryPool.takeIf { primaryLostSince() != null }
+        val candidates = pools.values
             .filter { it.leavingSince == null && it.health.isUsable && it !== lost && it.member.name !in tried }
             .map { candidate(it, now) }
-        return placement.choose(candidates, required)?.let { lanes[it.name] }
+        return placement.choose(candidates, required)?.let { pools[it.name] }
     }
 
-    private fun candidate(lane: MemberLane, now: Duration) = ReadCandidate(
-        name = lane.member.name,
-        primary = leads(lane),
-        point = lane.health.point,
-        pointAge = now - lane.health.pointAt,
-        expectedWait = lane.expectedWait(),
-        distance = lane.distance,
-        remote = isRemote(lane.member),
+    private fun candidate(pool: MemberPool, now: Duration) = ReadCandidate(
+        name = pool.member.name,
+        primary = leads(pool),
+        point = pool.health.point,
+        pointAge = now - pool.health.pointAt,
+        expectedWait = pool.expectedWait(),
+        distance = pool.distance,
+        remote = isRemote(pool.member),
     )
 
-    private fun observe(lane: MemberLane, command: MemberCommand, sentAt: Duration, reply: MemberReply) {
-        val name = lane.member.name
+    private fun recordReply(pool: MemberPool, command: MemberCommand, sentAt: Duration, reply: MemberReply) {
+        val name = pool.member.name
         val point = reply.point
         reply.report?.let { report ->
-            lane.health.reported(report, environment.now())
-            lane.counted(report.connections)
-            if (!report.primary) disprove(lane, sentAt)
+            pool.health.recordReport(report, environment.now())
+            pool.updateConnectionCount(report.connections)
+            if (!report.primary) disprove(pool, sentAt)
         }
         if (reply.rejection == RejectionCode.READ_ONLY) {
-            disprove(lane, sentAt)
+            disprove(pool, sentAt)
             return
         }
         if (!reply.isCompleted || point == null || !provesLead(command, reply)) return
         if (belief.prove(name, sentAt)) {
             proofs.leadChanged(point, sentAt)
-            logBelief(Event.PRIMARY_PROVED, lane, sentAt)
+            logBelief(Event.PRIMARY_PROVED, pool, sentAt)
         } else if (belief.primary == name) {
             proofs.note(point, sentAt)
         }
     }
 
-    private fun disprove(lane: MemberLane, sentAt: Duration) {
-        if (!belief.disprove(lane.member.name, sentAt)) return
-        logBelief(Event.PRIMARY_DISPROVED, lane, sentAt)
+    private fun disprove(pool: MemberPool, sentAt: Duration) {
+        if (!belief.disprove(pool.member.name, sentAt)) return
+        logBelief(Event.PRIMARY_DISPROVED, pool, sentAt)
         onPrimaryUnknown(this)
     }
 
@@ -163,16 +172,16 @@
         "dataCentre" to member.dataCentre.value,
     )
 
-    private fun logBelief(event: Event, lane: MemberLane, sentAt: Duration) = environment.events.log(
+    private fun logBelief(event: Event, pool: MemberPool, sentAt: Duration) = environment.events.log(
         event,
         "group" to group.value,
-        "member" to lane.member.name.value,
-        "point" to lane.health.point?.toString(),
+        "member" to pool.member.name.value,
+        "point" to pool.health.point?.toString(),
         "evidenceAgeMs" to (environment.now() - sentAt).inWholeMilliseconds,
     )
 
     private companion object {
-        /** Time without a sign of the primary; two questions to it have gone unanswered then. */
-        val LOST_AFTER = 800.milliseconds
+        /** Time without a response of the primary after which it counts as lost; by then two polls went unanswered. */
+        val PRIMARY_LOSS_TIMEOUT = 800.milliseconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveMetrics.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveMetrics.kt
@@ -11,8 +11,8 @@
 import kotlin.time.DurationUnit
 
 /**
- * Metrics of interactive sessions. Labels come from the configuration, never from what a caller sends. Each metric is
- * set up at its first use, after a starting node has begun to listen.
+ * Metrics of interactive sessions. Labels come from the configuration, never from callers' input. Each metric is
+ * created at its first use, after a starting node has begun to listen.
  */
 public class InteractiveMetrics {
     private val registry by lazy { PrometheusRegistry() }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNode.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration
 
 /**
- * Where a VM is.
+ * Location of a VM.
  *
  * @property regions region of each data centre.
  */
@@ -36,14 +36,14 @@
     /** The session is open. */
     public data class Opened(val session: InteractiveSession) : SessionOpening
 
-    /** It is not; [code] says why. */
+    /** The session was rejected with [code]. */
     public data class Rejected(val code: RejectionCode, val detail: String) : SessionOpening
 }
 
 /**
- * Serves interactive sessions: keeps the configuration in force, the members that discovery names, and the sessions.
+ * Serves interactive sessions: holds the configuration in force, the discovered members and the open sessions.
  *
- * All of it runs on one event loop, which calls it and which it schedules on; nothing in it blocks.
+ * All calls and scheduled tasks run on one event loop and must not block.
  */
 public class InteractiveNode(
     private val place: VmPlace,
@@ -51,8 +51,8 @@
     limits: InteractiveLimits = InteractiveLimits(),
 ) {
     private val environment = NodeEnvironment(ports.clock, ports.schedule, ports.openLink, ports.events, limits)
-    private val groups = LinkedHashMap<DatabaseName, GroupLanes>()
-    private val observer = GroupObserver(environment)
+    private val groups = LinkedHashMap<DatabaseName, GroupPools>()
+    private val poller = GroupPoller(environment)
     private val sessions = LinkedHashSet<InteractiveSession>()
     private val waitingOpenings = LinkedHashSet<WaitingOpening>()
     private val services = SessionServices(
@@ -71,8 +71,8 @@
     public var configuration: InteractiveConfiguration = InteractiveConfiguration.NONE
         private set
 
-    /** Whether the node knows what to serve and with what, and is not leaving. */
-    public val isReady: Boolean get() = isInformed && !leaving
+    /** Whether the node has a configuration and discovered members and is not leaving. */
+    public val isReady: Boolean get() = isInitialized && !leaving
 
     /** Whether the node has begun to leave. */
     public var leaving: Boolean = false
@@ -81,58 +81,58 @@
     /** Number of open sessions. */
     public val openSessions: Int get() = sessions.size
 
-    internal val groupLanes: Collection<GroupLanes> get() = groups.values
+    internal val groupPools: Collection<GroupPools> get() = groups.values
 
     internal val nodeEnvironment: NodeEnvironment get() = environment
 
-    /** Whether this VM decides failovers, for which it needs to know more of the members. */
+    /** Whether this VM decides failovers; it then polls members more often and for more data. */
     public var decidesFailovers: Boolean = false
 
-    /** Starts the periodic work. */
+    /** Starts the periodic maintenance of pools and polling of members. */
     public fun start() {
-        repeatEvery(environment.limits.maintenance) { groups.values.forEach { it.maintain() } }
-        repeatEvery(environment.limits.observation) { groups.values.forEach { observer.observe(it, decidesFailovers) } }
+        repeatEvery(environment.limits.maintenanceInterval) { groups.values.forEach { it.maintain() } }
+        repeatEvery(environment.limits.pollInterval) { groups.values.forEach { poller.poll(it, decidesFailovers) } }
     }
 
-    /** Puts [next] in force if its number is higher than that of the current one. */
+    /** Applies [next] if its number is higher than that of the current configuration. */
     public fun configure(next: InteractiveConfiguration) {
         if (next.number <= configuration.number) return
         val previous = configuration.number
         configuration = next
         next.connections.keys.forEach(::group)
-        spreadMembers()
+        distributeMembers()
         environment.events.log(
             Event.CONFIGURATION_ACCEPTED,
             "number" to next.number,
             "previous" to previous,
             "routes" to next.routes.size,
         )
-        openWaiting()
+        openWaitingSessions()
     }
 
-    /** Takes over the members that discovery names now. */
-    public fun discovered(next: List<DiscoveredMember>) {
+    /** Replaces the discovered members with [next]. */
+    public fun updateMembers(next: List<DiscoveredMember>) {
         members = next
-        spreadMembers()
-        openWaiting()
+        distributeMembers()
+        openWaitingSessions()
     }
 
     /**
-     * Opens a session on [database] for the caller at [peer]; [done] is called once. A node that has just started waits
-     * for its first configuration, without which it cannot tell which databases there are.
+     * Opens a session on [database] for the caller at [peer]; [done] is called once. A node that has just started
+     * waits for its first configuration, since the databases are unknown until then.
      */
     public fun open(database: String, peer: SessionPeer, done: (SessionOpening) -> Unit) {
-        if (isInformed) return done(openNow(database, peer))
+        if (isInitialized) return done(openNow(database, peer))
         val opening = WaitingOpening { done(openNow(database, peer)) }
         waitingOpenings += opening
-        environment.schedule(environment.limits.firstConfiguration) {
+        environment.schedule(environment.limits.firstConfigurationTimeout) {
             if (waitingOpenings.remove(opening)) {
                 done(SessionOpening.Rejected(RejectionCode.BUSY, "this VM has no configuration yet"))
             }
         }
     }
 
-    /** Takes this VM out of service; sessions go on. */
+    /** Makes this VM report not ready; open sessions continue. */
     public fun leave() {
         leaving = true
     }
@@ -148,7 +148,7 @@
         sessions.toList().filter { !it.isServing }.forEach { it.interruptTransaction() }
     }
 
-    private val isInformed: Boolean get() = configuration.number > 0 && members != null
+    private val isInitialized: Boolean get() = configuration.number > 0 && members != null
 
     private fun openNow(database: String, peer: SessionPeer): SessionOpening {
         if (database !in configuration.routes) {
@@ -159,28 +159,28 @@
         return SessionOpening.Opened(session)
     }
 
-    private fun openWaiting() {
-        if (!isInformed) return
+    private fun openWaitingSessions() {
+        if (!isInitialized) return
         waitingOpenings.toList().also { waitingOpenings.clear() }.forEach { it.open() }
     }
 
-    private fun group(name: DatabaseName): GroupLanes = groups.getOrPut(name) {
+    private fun group(name: DatabaseName): GroupPools = groups.getOrPut(name) {
         newGroup(name)
-            .also { it.discovered(members.orEmpty().filter { member -> member.group == name }) }
+            .also { it.updateMembers(members.orEmpty().filter { member -> member.group == name }) }
     }
 
-    private fun newGroup(name: DatabaseName) = GroupLanes(
+    private fun newGroup(name: DatabaseName) = GroupPools(
         group = name,
         environment = environment,
         isRemote = ::isRemote,
         connections = { configuration.connections[name] ?: 0 },
-        onPrimaryUnknown = { observer.observe(it, decidesFailovers) },
+        onPrimaryUnknown = { poller.poll(it, decidesFailovers) },
     )
 
-    private fun spreadMembers() {
+    private fun distributeMembers() {
         val known = members ?: return
         val byGroup = known.groupBy { it.group }
-        groups.forEach { (name, group) -> group.discovered(byGroup[name].orEmpty()) }
+        groups.forEach { (name, group) -> group.updateMembers(byGroup[name].orEmpty()) }
     }
 
     private fun isRemote(member: DiscoveredMember): Boolean =
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
@@ -15,7 +15,7 @@
 
 /**
  * One session of a caller: its values, its prepared statements, its open transaction, and the newest point that it has
- * written. Statements are served one after the other; values and plans stay here, whichever member serves.
+ * written. Statements are served one at a time. Values and plans are kept here, independent of the serving member.
  */
 public class InteractiveSession internal constructor(
     private val database: String,
@@ -26,7 +26,7 @@
     private val waiting = ArrayDeque<Pair<RequestId, SessionStatement>>()
     private var memory = SessionMemory()
     private var transaction: SessionTransaction? = null
-    private var own: HistoryPoint? = null
+    private var lastWritten: HistoryPoint? = null
     private var ended = false
     private var idleTimer: Cancel? = null
 
@@ -34,16 +34,16 @@
     public var isServing: Boolean = false
         private set
 
-    /** Whether no statement is served and no transaction open, so that a close harms nothing. */
+    /** Whether no statement is being served or queued and no transaction is open, so that closing loses no work. */
     public val isIdle: Boolean get() = !isServing && waiting.isEmpty() && transaction == null
 
-    /** Serves [statement] after those that came before it. */
+    /** Queues [statement]; statements are served in the order of submission. */
     public fun submit(request: RequestId, statement: SessionStatement) {
         waiting.addLast(request to statement)
         if (!isServing) serveNext()
     }
 
-    /** Ends the session, as its caller has left; an open transaction is rolled back. */
+    /** Ends the session after its caller disconnected; an open transaction is rolled back. */
     public fun disconnected() {
         if (ended) return
         ended = true
@@ -54,14 +54,14 @@
         services.onEnd(this)
     }
 
-    /** Ends the session from this side; only what [isIdle] allows it without harm. */
+    /** Closes the session from the proxy's side. This loses no work only while [isIdle]. */
     public fun close() {
         if (ended) return
         peer.close()
         disconnected()
     }
 
-    /** Rolls an open transaction back, which fails from its next statement on. */
+    /** Rolls back an open transaction; its next statement fails. */
     public fun interruptTransaction() {
         transaction?.abandon()
     }
@@ -78,8 +78,8 @@
             is SessionStatement.Rollback -> rollBack()
             is SessionStatement.Run -> run(request, statement.access, null, statement.text)
             is SessionStatement.Execute -> execute(request, statement)
-            is SessionStatement.SetValue -> remember(memory.with(statement))
-            is SessionStatement.Prepare -> remember(memory.with(statement))
+            is SessionStatement.SetValue -> updateMemory(memory.with(statement))
+            is SessionStatement.Prepare -> updateMemory(memory.with(statement))
             is SessionStatement.Deallocate -> deallocate(statement.name)
             is SessionStatement.Malformed -> reject(RejectionCode.MALFORMED, statement.detail)
         }
@@ -94,8 +94,8 @@
             }
 
             else -> {
-                val code = if (open.reported) RejectionCode.MALFORMED else RejectionCode.ABORTED
-                open.reported = true
+                val code = if (open.failureReported) RejectionCode.MALFORMED else RejectionCode.ABORTED
+                open.failureReported = true
                 reject(code, "the transaction of request $request has failed; only its end is accepted")
             }
         }
@@ -117,7 +117,7 @@
         val call = call(request, open.route, StatementAccess.READ, null, statement.text)
         open.commit(call) { reply, written ->
             if (reply.state == TransactionState.IDLE) transaction = null
-            written?.let(::wrote)
+            written?.let(::recordWrite)
             answer(call, reply, open.facts(call))
         }
     }
@@ -137,7 +137,7 @@
 
     private fun deallocate(name: String) {
         if (name !in memory.plans) return reject(RejectionCode.UNKNOWN_PLAN, "no statement is prepared as $name")
-        remember(memory.without(name))
+        updateMemory(memory.without(name))
     }
 
     private fun run(request: RequestId, access: StatementAccess, plan: StatementPlan?, text: String) {
@@ -150,12 +150,12 @@
         val route = route() ?: return
         val call = call(request, route, access, plan, text)
         SingleStatement(call, services.group(route.group), environment) { outcome ->
-            outcome.written?.let(::wrote)
+            outcome.written?.let(::recordWrite)
             answer(call, outcome.reply, outcome.facts)
         }.start()
     }
 
-    /** Returns the route in force; without one the session cannot go on. */
+    /** Returns the route in force; without one, rejects the statement, closes the session and returns null. */
     private fun route(): InteractiveRoute? {
         val route = services.route(database)
         if (route == null) {
@@ -171,13 +171,13 @@
         access: StatementAccess,
         plan: StatementPlan?,
         text: String,
-    ) = StatementCall(request, route, access, plan, text, memory.values, own, environment.now())
+    ) = StatementCall(request, route, access, plan, text, memory.values, lastWritten, environment.now())
 
-    private fun wrote(point: HistoryPoint) {
-        if (own?.let { point > it } ?: true) own = point
+    private fun recordWrite(point: HistoryPoint) {
+        if (lastWritten?.let { point > it } ?: true) lastWritten = point
     }
 
-    private fun remember(next: SessionMemory) {
+    private fun updateMemory(next: SessionMemory) {
         memory = next
         complete()
     }
@@ -187,7 +187,7 @@
     private fun reject(code: RejectionCode, detail: String) =
         send(SessionReply(emptyList(), StatementResult.Rejected(code, detail), state()))
 
-    private fun answer(call: StatementCall, reply: SessionReply, facts: AnswerFacts) {
+    private fun answer(call: StatementCall, reply: SessionReply, facts: RoutingDetails) {
         services.onAnswer(call, reply, facts)
         send(reply)
     }
@@ -200,7 +200,7 @@
     private fun send(reply: SessionReply) {
         if (ended) return
         isServing = false
-        if (reply.state == TransactionState.FAILED) transaction?.reported = true
+        if (reply.state == TransactionState.FAILED) transaction?.failureReported = true
         peer.reply(reply)
         if (transaction?.failed == false) startIdleTimer()
         services.onReply(this)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/LinkPreparation.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/LinkPreparation.kt
@@ -6,8 +6,8 @@
 import kotlin.time.Duration
 
 /**
- * Gives [this] connection the session [values] and the [plan], and calls [done] with whether that worked. Values are
- * confirmed before anything runs under them; a plan may travel with the statement, which fails without it.
+ * Sets the session [values] and the [plan] on [this] connection and calls [done] with whether that succeeded. Values
+ * are confirmed before a statement runs with them; a statement whose plan is missing fails.
  */
 internal fun PooledLink.prepareFor(
     values: Map<String, String>,
@@ -25,10 +25,10 @@
     }
 }
 
-/** Ends whatever transaction is open on [this] connection and gives it back to its [lane]. */
-internal fun PooledLink.rollBackInto(lane: MemberLane, timeout: Duration) {
+/** Rolls back any open transaction on [this] connection and returns it to its [pool]. */
+internal fun PooledLink.rollBackAndRelease(pool: MemberPool, timeout: Duration) {
     if (isClosed) return
     run(listOf(MemberCommand.Rollback), timeout) { result ->
-        if (result is BatchResult.Answered) lane.putBack(this)
+        if (result is BatchResult.Answered) pool.releaseLink(this)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberHealth.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberHealth.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What this VM has seen of one member. */
+/** Health and log position of one member as observed by this VM. */
 internal class MemberHealth {
     var answeredAt: Duration? = null
         private set
@@ -24,37 +24,37 @@
     var reportedAt: Duration? = null
         private set
 
-    /** Whether the member can be counted on for work. */
-    val isUsable: Boolean get() = failures < UNUSABLE_FAILURES
+    /** Whether the member should get reads. */
+    val isUsable: Boolean get() = failures < UNUSABLE_AFTER_FAILURES
 
-    fun answered(now: Duration) {
+    fun recordAnswer(now: Duration) {
         answeredAt = now
         failingSince = null
         failures = 0
         refusing = false
     }
 
-    fun failed(now: Duration, refused: Boolean) {
+    fun recordFailure(now: Duration, refused: Boolean) {
         if (failingSince == null) failingSince = answeredAt ?: now
         failures++
         refusing = refused
     }
 
-    fun reached(end: HistoryPoint, now: Duration) {
+    fun recordPoint(end: HistoryPoint, now: Duration) {
         point = end
         pointAt = now
     }
 
-    fun reported(next: ReplicationReport, now: Duration) {
+    fun recordReport(next: ReplicationReport, now: Duration) {
         report = next
         reportedAt = now
     }
 
     companion object {
-        /** Failures in a row after which work goes elsewhere. */
-        const val UNUSABLE_FAILURES = 2
+        /** Consecutive failures after which reads go to other members. */
+        const val UNUSABLE_AFTER_FAILURES = 2
 
-        /** Base of the pauses between attempts to reach a member. */
-        val PAUSE = 150.milliseconds
+        /** Base delay between attempts to connect to a member. */
+        val RETRY_DELAY = 150.milliseconds
     }
 }
--- /dev/null
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberPool.kt
@@ -0,0 +1,297 @@
+package dev.kumquatknot.proxy.interactive
+
+import dev.kumquatknot.core.admission.Admission
+import dev.kumquatknot.core.admission.AdmissionPolicy
+import dev.kumquatknot.core.admission.AdmissionQueue
+import dev.kumquatknot.core.admission.QueueChanges
+import dev.kumquatknot.core.admission.Ticket
+import dev.kumquatknot.core.admission.WorkItem
+import dev.kumquatknot.core.interactive.DiscoveredMember
+import dev.kumquatknot.core.interactive.MemberCommand
+import dev.kumquatknot.core.interactive.MemberReply
+import dev.kumquatknot.core.interactive.RejectionCode
+import kotlin.math.roundToInt
+import kotlin.time.Duration
+
+/** Why a pool refused a request. The work did not run. */
+internal enum class PoolRefusal {
+    OVERLOADED,
+    NO_CONNECTION,
+    CLOSED,
+}
+
+/** A request for a slot and a connection. The pool calls either [granted] or [refused], exactly once. */
+internal class PoolRequest(
+    val item: WorkItem,
+    val granted: (PooledLink, PoolSlot) -> Unit,
+    val refused: (PoolRefusal) -> Unit,
+)
+
+/** An occupied slot of a pool. Only the first call of [release] has an effect. */
+internal class PoolSlot(private val pool: MemberPool, private val ticket: Ticket, private var usedSince: Duration) {
+    private var ended = false
+
+    /** Restarts the measurement of the service time at [now], so that it excludes the wait for a connection. */
+    fun connected(now: Duration) {
+        usedSince = now
+    }
+
+    /** Releases the slot; [ran] is whether a statement ran, [answered] whether the member answered it. */
+    fun release(ran: Boolean, answered: Boolean) {
+        if (ended) return
+        ended = true
+        pool.releaseSlot(ticket, usedSince, ran, answered)
+    }
+}
+
+/**
+ * This VM's connection pool for one member, with the admission queue for the member's slots.
+ *
+ * Several VMs use a member concurrently. Each admits as many statements as its share of the member's slots allows; the
+ * member's own short queue balances the load of the VMs. The limit falls when the member becomes slow.
+ */
+internal class MemberPool(
+    member: DiscoveredMember,
+    private val environment: NodeEnvironment,
+    private val capacity: () -> Int,
+    private val onReply: (MemberPool, MemberCommand, Duration, MemberReply) -> Unit,
+) : LinkListener {
+    private val queue = AdmissionQueue(slotsOf(member), AdmissionPolicy())
+    private val waiting = HashMap<Ticket, PoolRequest>()
+    private val links = ArrayList<PooledLink>()
+    private val idle = ArrayDeque<PooledLink>()
+    private val linkWaiters = ArrayDeque<LinkWaiter>()
+    private var opening = 0
+    private var connectionsOfOthers: Int? = null
+    private var nextOpeningAt = Duration.ZERO
+    private var closed = false
+
+    /** The latest description of the member from discovery. */
+    var member: DiscoveredMember = member
+        private set
+
+    /** Time at which the member started to leave; null if it is not leaving. */
+    var leavingSince: Duration? = if (member.leaving) environment.now() else null
+        private set
+
+    /** Time at which discovery stopped listing the member; null while it is listed. */
+    var missingSince: Duration? = null
+
+    /** Health of the member as observed by this VM. */
+    val health = MemberHealth()
+
+    /** Shortest time in which a connection was opened, an estimate of the network distance. */
+    var distance: Duration = Duration.ZERO
+        private set
+
+    /** Start time of the oldest opening that the member has not answered; null if there is none. */
+    val openingSince: Duration? get() = links.filter { it.openingTime == null }.minOfOrNull { it.startedAt }
+
+    /** Observed time that the member takes for a statement. */
+    val serviceTime: Duration get() = queue.load().serviceTime
+
+    /** Estimated time that a new request would wait for a slot. */
+    fun expectedWait(): Duration {
+        val load = queue.load()
+        val ahead = load.queued.values.sum() + load.inFlight - load.limit + 1
+        return if (ahead <= 0) Duration.ZERO else load.serviceTime * ahead / load.limit
+    }
+
+    fun updateMember(next: DiscoveredMember) {
+        if (next.leaving && !member.leaving) leavingSince = environment.now()
+        if (!next.leaving) leavingSince = null
+        member = next
+        missingSince = null
+    }
+
+    /** Queues [work] for a slot, or grants or refuses it at once. */
+    fun submit(work: PoolRequest) {
+        if (closed) return work.refused(PoolRefusal.CLOSED)
+        when (val admission = queue.offer(work.item, environment.now())) {
+            is Admission.Granted -> connect(work, admission.ticket)
+            is Admission.Queued -> waiting[admission.ticket] = work
+            is Admission.Refused -> work.refused(PoolRefusal.OVERLOADED)
+        }
+    }
+
+    fun releaseSlot(ticket: Ticket, usedSince: Duration, ran: Boolean, answered: Boolean) {
+        val now = environment.now()
+        val held = now - usedSince
+        apply(if (ran) queue.release(ticket, now, held, answered) else queue.abandon(ticket, now, held))
+    }
+
+    /** Returns [link], which must have no open transaction, for reuse. */
+    fun releaseLink(link: PooledLink) {
+        if (link.isClosed) return
+        if (closed) return link.close()
+        val waiter = nextWaiter()
+        if (waiter != null) {
+            waiter.complete(link)
+        } else {
+            idle.addLast(link)
+        }
+    }
+
+    /**
+     * Acquires a connection for polling, without a slot and ahead of statements; [done] gets null on a timeout or
+     * failure.
+     */
+    fun acquireLink(done: (PooledLink?) -> Unit) {
+        val link = pollIdle()
+        if (link != null) return done(link)
+        linkWaiters.addFirst(LinkWaiter(done).also { startTimer(it, environment.limits.reportTimeout) })
+        openMore()
+    }
+
+    /** Refuses requests that waited too long and closes surplus idle connections. */
+    fun maintain() {
+        val now = environment.now()
+        apply(queue.expire(now))
+        val surplus = idle.size - environment.limits.maximumIdleConnections
+        if (surplus > 0) {
+            idle.filter { now - it.idleSince > environment.limits.idleCloseDelay }.take(surplus).forEach { it.close() }
+        }
+        val isUnconnected = links.isEmpty() && opening == 0
+        if (isUnconnected && !closed && leavingSince == null) openMore()
+    }
+
+    /** Updates the number of connections of other VMs from the member's total of [connections]. */
+    fun updateConnectionCount(connections: Int) {
+        connectionsOfOthers = (connections - links.size).coerceAtLeast(0)
+    }
+
+    /** Refuses all queued requests and closes all connections that are not busy. */
+    fun close() {
+        if (closed) return
+        closed = true
+        val refused = waiting.values.toList()
+        waiting.clear()
+        refused.forEach { it.refused(PoolRefusal.CLOSED) }
+        linkWaiters.toList().also { linkWaiters.clear() }.forEach { it.complete(null) }
+        links.toList().filter { !it.isBusy }.forEach { it.close() }
+    }
+
+    override fun linkOpened(link: PooledLink) {
+        opening--
+        link.openingTime?.let { if (distance == Duration.ZERO || it < distance) distance = it }
+        health.recordAnswer(environment.now())
+        if (connectionsOfOthers == null) requestConnectionCount(link) else releaseLink(link)
+        if (linkWaiters.isNotEmpty()) openMore()
+    }
+
+    override fun linkReplied(link: PooledLink, command: MemberCommand, sentAt: Duration, reply: MemberReply) {
+        health.recordAnswer(environment.now())
+        reply.point?.let { health.recordPoint(it, environment.now()) }
+        onReply(this, command, sentAt, reply)
+    }
+
+    override fun linkEnded(link: PooledLink, end: LinkEnd, opened: Boolean) {
+        links.remove(link)
+        idle.remove(link)
+        if (!opened) opening--
+        val now = environment.now()
+        val full = end is LinkEnd.Rejected && end.code == RejectionCode.TOO_MANY_CONNECTIONS
+        if (full) {
+            nextOpeningAt = now + TOO_MANY_CONNECTIONS_DELAY
+        } else if (!opened) {
+            health.recordFailure(now, refused = end is LinkEnd.Refused)
+            nextOpeningAt = now + FAILED_OPENING_DELAY
+        }
+        if (!opened && opening == 0) linkWaiters.toList().also { linkWaiters.clear() }.forEach { it.complete(null) }
+    }
+
+    /** Requests the member's connection count before [link] is lent, as a transaction may hold it for long. */
+    private fun requestConnectionCount(link: PooledLink) {
+        link.run(listOf(MemberCommand.Report), environment.limits.reportTimeout) { result ->
+            if (result !is BatchResult.Answered) return@run
+            releaseLink(link)
+            if (linkWaiters.isNotEmpty()) openMore()
+        }
+    }
+
+    private fun slotsOf(member: DiscoveredMember): Int =
+        (member.slots * environment.limits.slotShare).roundToInt().coerceAtLeast(1)
+
+    private fun connect(work: PoolRequest, ticket: Ticket) {
+        val slot = PoolSlot(this, ticket, environment.now())
+        val link = pollIdle()
+        if (link != null) return work.granted(link, slot)
+        val waiter = LinkWaiter { found ->
+            if (found != null) {
+                slot.connected(environment.now())
+                work.granted(found, slot)
+            } else {
+                slot.release(ran = false, answered = true)
+                work.refused(PoolRefusal.NO_CONNECTION)
+            }
+        }
+        linkWaiters.addLast(waiter)
+        startTimer(waiter, environment.limits.connectionWait)
+        openMore()
+    }
+
+    private fun pollIdle(): PooledLink? {
+        while (true) {
+            val link = idle.removeLastOrNull() ?: return null
+            if (!link.isClosed) return link
+        }
+    }
+
+    private fun nextWaiter(): LinkWaiter? {
+        while (true) {
+            val waiter = linkWaiters.removeFirstOrNull() ?: return null
+            if (!waiter.ended) return waiter
+        }
+    }
+
+    private fun startTimer(waiter: LinkWaiter, after: Duration) {
+        waiter.timer = environment.schedule(after) {
+            linkWaiters.remove(waiter)
+            waiter.complete(null)
+        }
+    }
+
+    private fun openMore() {
+        val wanted = linkWaiters.size.coerceIn(1, environment.limits.maximumConcurrentOpenings)
+        while (!closed && opening < wanted && mayOpen()) {
+            opening++
+            val link = PooledLink(member, environment, this)
+            links += link
+            link.open(environment.openLink, environment.limits.openTimeout)
+        }
+    }
+
+    private fun mayOpen(): Boolean {
+        val most = capacity()
+        val share = (most * environment.limits.connectionShare).toInt().coerceAtLeast(1)
+        // Until the member has reported its count, assume that other VMs hold all but the one that each VM may have.
+        val elsewhere = connectionsOfOthers ?: most
+        val free = most - environment.limits.connectionReserve - elsewhere - links.size
+        return links.size < share && (links.isEmpty() || free > 0) && environment.now() >= nextOpeningAt
+    }
+
+    private fun apply(changes: QueueChanges) {
+        changes.expired.forEach { waiting.remove(it.ticket)?.refused?.invoke(PoolRefusal.OVERLOADED) }
+        changes.granted.forEach { ticket -> waiting.remove(ticket)?.let { connect(it, ticket) } }
+    }
+
+    private class LinkWaiter(private val done: (PooledLink?) -> Unit) {
+        var timer: Cancel? = null
+        var ended = false
+
+        fun complete(link: PooledLink?) {
+            if (ended) return
+            ended = true
+            timer?.invoke()
+            done(link)
+        }
+    }
+
+    private companion object {
+        /** Delay after a rejection for too many connections; other VMs need some time to close theirs. */
+        val TOO_MANY_CONNECTIONS_DELAY = MemberHealth.RETRY_DELAY * 2
+
+        /** Delay after a failed opening; limits attempts at a member that is down to a few a second. */
+        val FAILED_OPENING_DELAY = MemberHealth.RETRY_DELAY
+    }
+}
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
@@ -5,53 +5,53 @@
 import dev.kumquatknot.core.interactive.OutagePatience
 import kotlin.time.Duration
 
-/** What a [MemberSearch] ended with. */
+/** Result of a [MemberSearch]. */
 internal sealed interface SearchResult {
-    /** [lane] is the best member left; it must have reached [required], where that is given. */
-    data class Found(val lane: MemberLane, val required: HistoryPoint?) : SearchResult
+    /** [pool] is that of the best remaining member, which must have reached [required], unless that is null. */
+    data class Found(val pool: MemberPool, val required: HistoryPoint?) : SearchResult
 
-    /** No member can take the work before its caller had better come again. */
+    /** No member can run the statement soon enough; the caller should retry later. */
     data class Exhausted(val detail: String) : SearchResult
 }
 
 /**
- * Finds the members for one statement or transaction, one after the other, and waits a while for a primary.
+ * Selects the members to try in turn for one statement or transaction, and waits for a primary for a limited time.
  *
- * @param flexible whether a replica may serve, as far as the route allows it.
+ * @param replicaAllowed whether a replica may serve if the route allows it.
  */
 internal class MemberSearch(
-    private val flexible: Boolean,
-    private val group: GroupLanes,
+    private val replicaAllowed: Boolean,
+    private val group: GroupPools,
     private val environment: NodeEnvironment,
 ) {
     private val tried = LinkedHashSet<MemberName>()
-    private val patience = OutagePatience()
+    private val outageWait = OutagePatience()
 
-    /** What decided where the work went so far. */
-    var facts: AnswerFacts = AnswerFacts()
+    /** Details of the routing decisions so far. */
+    var facts: RoutingDetails = RoutingDetails()
         private set
 
-    /** Whether one more member may be tried after the present one. */
-    private val hasMoreAttempts: Boolean get() = facts.attempts < environment.limits.attempts
+    /** Whether another member may be tried after the current one. */
+    private val hasMoreAttempts: Boolean get() = facts.attempts < environment.limits.maximumAttempts
 
-    /** Names of the members that could not serve. */
+    /** Names of the members that failed to serve. */
     val excluded: Set<MemberName> get() = tried
 
     /** Finds the next member for [call]. */
     fun next(call: StatementCall, done: (SearchResult) -> Unit) {
-        val needed = if (flexible) group.required(call.route, call.own) else null
-        val lane = needed?.let { group.reader(it, tried) } ?: group.primary()
+        val needed = if (replicaAllowed) group.required(call.route, call.lastWritten) else null
+        val pool = needed?.let { group.reader(it, tried) } ?: group.primary()
         when {
-            lane == null -> awaitPrimary(call, done)
+            pool == null -> awaitPrimary(call, done)
             !hasMoreAttempts -> done(SearchResult.Exhausted("rejected by ${tried.joinToString()}"))
             else -> {
-                facts = AnswerFacts(
-                    member = lane.member.name,
+                facts = RoutingDetails(
+                    member = pool.member.name,
                     attempts = facts.attempts + 1,
                     required = needed,
                     proofAge = group.proofs.latestAskedAt?.let { environment.now() - it },
                 )
-                done(SearchResult.Found(lane, needed))
+                done(SearchResult.Found(pool, needed))
             }
         }
     }
@@ -62,36 +62,37 @@
         val until = if (lostSince == null) {
             call.waitsForPrimaryUntil
         } else {
-            patience.waitsUntil(lostSince, now, call.deadline)
+            outageWait.waitsUntil(lostSince, now, call.deadline)
         }
         if (until != null && now < until) {
-            later { next(call, done) }
+            scheduleRetry { next(call, done) }
         } else {
             val since = lostSince?.let { ", which lost its primary ${now - it} ago" }.orEmpty()
             done(SearchResult.Exhausted("no member of ${call.route.group}$since can run it"))
         }
     }
 
-    /** Notes that the member found last gave [call] a slot and a connection. */
-    fun granted(call: StatementCall) {
+    /** Records that [call] got a slot and a connection of the member found last. */
+    fun recordGrant(call: StatementCall) {
         facts = facts.copy(waited = environment.now() - call.startedAt)
     }
 
-    /** Notes that [lane] could not serve; the next search prefers others. */
-    fun exclude(lane: MemberLane) {
-        tried += lane.member.name
+    /** Excludes the member of [pool] from further reads, as it failed to serve. */
+    fun exclude(pool: MemberPool) {
+        tried += pool.member.name
     }
 
-    /** Calls [task] after the pause that a busy member needs. */
-    fun later(task: () -> Unit) {
-        environment.schedule(environment.limits.retryPause, task)
+    /** Calls [task] after [InteractiveLimits.retryDelay]. */
+    fun scheduleRetry(task: () -> Unit) {
+        environment.schedule(environment.limits.retryDelay, task)
     }
 
-    /** Time that a read may spend on the present attempt when [left] is left in all. */
-    fun attemptTime(left: Duration): Duration =
+    /** Returns the timeout of a read's current attempt, given the [remaining] time of the statement. */
+    fun attemptTimeout(remaining: Duration): Duration =
         if (hasMoreAttempts) {
-            maxOf(left * environment.limits.readAttemptPart, environment.limits.report).coerceAtMost(left)
+            maxOf(remaining * environment.limits.readAttemptShare, environment.limits.reportTimeout)
+                .coerceAtMost(remaining)
         } else {
-            left
+            remaining
         }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/NodeEnvironment.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/NodeEnvironment.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 
 /**
- * What the parts of an [InteractiveNode] share. All of them run on one event loop, so their tables need no lock.
+ * Shared dependencies of the parts of an [InteractiveNode]. All run on one event loop, so their state needs no lock.
  *
  * @property schedule runs a task on that loop.
  * @property openLink opens connections to members.
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FeedReader.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/ObjectWatcher.kt
@@ -13,49 +13,48 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Follows the objects of one [kind] in the platform's store on a thread of its own.
+ * Watches the objects of one [kind] in the platform's store on a thread of its own.
  *
- * While the store does not answer, what was read last stays in force.
+ * While the store does not answer, the objects read last stay in force.
  *
- * @param watchTime time that one call waits for changes; bounds the time for which a connection that went silent hides
- * them.
- * @param onObjects called on the reader's thread with all objects, after each change.
+ * @param watchTimeout time that one call waits for changes; also bounds how long a silent connection hides changes.
+ * @param onObjects called on the watcher's thread with all objects, after each change.
  */
-public class FeedReader(
+public class ObjectWatcher(
     private val kind: String,
     private val feed: ObjectFeed,
     private val events: EventLog,
-    private val watchTime: Duration,
+    private val watchTimeout: Duration,
     private val pause: (Duration) -> Unit = { Thread.sleep(it.inWholeMilliseconds) },
     private val onObjects: (Collection<StoredObject>) -> Unit,
 ) {
     private val objects = LinkedHashMap<String, StoredObject>()
     private var failures = 0
 
-    /** Starts the thread. */
+    /** Starts the watching daemon thread. */
     public fun start() {
-        Thread(::follow, "feed-$kind").apply { isDaemon = true }.start()
+        Thread(::watch, "feed-$kind").apply { isDaemon = true }.start()
     }
 
-    private fun follow() {
+    private fun watch() {
         try {
-            while (true) readSnapshot()?.let(::followFrom)
+            while (true) readSnapshot()?.let(::watchFrom)
         } catch (_: InterruptedException) {
             Thread.currentThread().interrupt()
         }
     }
 
-    private fun readSnapshot(): Long? = answer(feed.snapshot(kind))?.let { snapshot ->
+    private fun readSnapshot(): Long? = valueOrPause(feed.snapshot(kind))?.let { snapshot ->
         objects.clear()
         snapshot.objects.associateByTo(objects) { it.key }
         onObjects(objects.values.toList())
         snapshot.revision
     }
 
-    private fun followFrom(first: Long) {
+    private fun watchFrom(first: Long) {
         var revision = first
         while (true) {
-            when (val answer = answer(feed.changes(kind, revision, watchTime))) {
+            when (val answer = valueOrPause(feed.changes(kind, revision, watchTimeout))) {
                 null -> Unit
                 is FeedAnswer.HistoryGone -> return
                 is FeedAnswer.Changed -> {
@@ -71,30 +70,30 @@
         if (change.removed) objects.remove(change.stored.key) else objects[change.stored.key] = change.stored
     }
 
-    /** Returns the answer, or null after a pause where there is none. */
-    private fun <T> answer(result: Either<StoreFailure, T>): T? = result.fold(
+    /** Returns the value of [result]; on a failure pauses with a growing delay and returns null. */
+    private fun <T> valueOrPause(result: Either<StoreFailure, T>): T? = result.fold(
         { failure ->
             failures++
-            if (failures == REPORTED_FAILURES) {
+            if (failures == FAILURES_BEFORE_LOGGING) {
                 events.log(Event.STORE_UNAVAILABLE, "call" to "feed $kind", "detail" to failure.toString())
             }
-            pause(minOf(FIRST_PAUSE * failures, LONGEST_PAUSE))
+            pause(minOf(INITIAL_RETRY_DELAY * failures, MAXIMUM_RETRY_DELAY))
             null
         },
         { value ->
-            if (failures >= REPORTED_FAILURES) events.log(Event.STORE_AVAILABLE, "call" to "feed $kind")
+            if (failures >= FAILURES_BEFORE_LOGGING) events.log(Event.STORE_AVAILABLE, "call" to "feed $kind")
             failures = 0
             value
         },
     )
 
     private companion object {
-        val FIRST_PAUSE = 100.milliseconds
+        val INITIAL_RETRY_DELAY = 100.milliseconds
 
-        /** Well below the 3 s within which changes must be in force once the store is back; every call has a price. */
-        val LONGEST_PAUSE = 1.seconds
+        /** Well below the 3 s within which changes must be in force once the store is back; more calls cost more. */
+        val MAXIMUM_RETRY_DELAY = 1.seconds
 
-        /** A single failure is ordinary, for example a watch that was cut off. */
-        const val REPORTED_FAILURES = 2
+        /** Single failures are common, for example an interrupted watch, and are not logged. */
+        const val FAILURES_BEFORE_LOGGING = 2
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
@@ -7,66 +7,66 @@
 import dev.kumquatknot.core.interactive.MemberReply
 import kotlin.time.Duration
 
-/** How a batch of commands ended. */
+/** Result of a batch of commands. */
 internal sealed interface BatchResult {
-    /** Each command was answered. */
+    /** All commands were answered. */
     data class Answered(val replies: List<MemberReply>) : BatchResult
 
     /** The connection ended after [replies]. */
     data class Broken(val replies: List<MemberReply>, val end: LinkEnd) : BatchResult
 }
 
-/** What a [PooledLink] tells the lane that it belongs to. */
-internal interface LinkOwner {
-    fun usable(link: PooledLink)
+/** Callbacks from a [PooledLink] to the pool that owns it. */
+internal interface LinkListener {
+    fun linkOpened(link: PooledLink)
 
-    fun replied(link: PooledLink, command: MemberCommand, sentAt: Duration, reply: MemberReply)
+    fun linkReplied(link: PooledLink, command: MemberCommand, sentAt: Duration, reply: MemberReply)
 
-    fun ended(link: PooledLink, end: LinkEnd, opened: Boolean)
+    fun linkEnded(link: PooledLink, end: LinkEnd, opened: Boolean)
 }
 
 /** One connection to a member, which runs one batch of commands at a time. */
 internal class PooledLink(
     val member: DiscoveredMember,
     private val environment: NodeEnvironment,
-    private val owner: LinkOwner,
+    private val owner: LinkListener,
 ) : MemberLinkEvents {
     private var link: MemberLink? = null
     private var batch: Batch? = null
     private var openTimer: Cancel? = null
 
-    /** When the opening began. */
+    /** Time at which the opening started. */
     val startedAt: Duration = environment.now()
 
-    /** What the member's end knows of session values and plans. */
+    /** Session values and plans that are set on the member's side of the connection. */
     var memory: ConnectionMemory = ConnectionMemory()
 
-    /** When it last became idle. */
+    /** Time at which the connection last became idle. */
     var idleSince: Duration = startedAt
         private set
 
-    /** Time from the start of opening to the member's acceptance. */
+    /** Time from the start of the opening until the member accepted; null before. */
     var openingTime: Duration? = null
         private set
 
-    /** Whether it ended. */
+    /** Whether the connection has ended. */
     var isClosed: Boolean = false
         private set
 
-    /** Whether a batch is under way. */
+    /** Whether a batch is running. */
     val isBusy: Boolean get() = batch != null
 
     fun open(openLink: OpenMemberLink, timeout: Duration) {
-        openTimer = environment.schedule(timeout) { giveUp("no answer to the opening within $timeout") }
+        openTimer = environment.schedule(timeout) { endBroken("no answer to the opening within $timeout") }
         link = openLink(member, this)
     }
 
-    /** Runs [commands] and calls [done] once with their replies, or with what came before the connection ended. */
+    /** Runs [commands] and calls [done] once with all replies, or with those received before the connection ended. */
     fun run(commands: List<MemberCommand>, timeout: Duration, done: (BatchResult) -> Unit) {
         check(batch == null) { "connection to ${member.name} is busy" }
         val next = Batch(commands, environment.now(), done)
         batch = next
-        next.timer = environment.schedule(timeout) { giveUp("no answer within $timeout") }
+        next.timer = environment.schedule(timeout) { endBroken("no answer within $timeout") }
         checkNotNull(link) { "connection to ${member.name} is not open" }.send(commands)
     }
 
@@ -80,19 +80,19 @@
         openTimer?.invoke()
         openingTime = environment.now() - startedAt
         idleSince = environment.now()
-        if (!isClosed) owner.usable(this)
+        if (!isClosed) owner.linkOpened(this)
     }
 
     override fun replied(reply: MemberReply) {
         val current = batch
         if (isClosed) return
         if (current == null) {
-            giveUp("a reply to nothing")
+            endBroken("a reply to nothing")
             return
         }
         val command = current.commands[current.replies.size]
         current.replies += reply
-        owner.replied(this, command, current.sentAt, reply)
+        owner.linkReplied(this, command, current.sentAt, reply)
         if (current.replies.size < current.commands.size) return
         batch = null
         idleSince = environment.now()
@@ -104,7 +104,7 @@
         if (!isClosed) end(end)
     }
 
-    private fun giveUp(detail: String) {
+    private fun endBroken(detail: String) {
         if (isClosed) return
         end(LinkEnd.Broken(detail))
         link?.close()
@@ -116,7 +116,7 @@
         val current = batch
         batch = null
         current?.timer?.invoke()
-        owner.ended(this, end, opened = openingTime != null)
+        owner.linkEnded(this, end, opened = openingTime != null)
         current?.done?.invoke(BatchResult.Broken(current.replies, end))
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/Ports.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/Ports.kt
@@ -8,7 +8,7 @@
 import dev.kumquatknot.core.interactive.SessionReply
 import kotlin.time.Duration
 
-/** Takes a scheduled task back; without effect once it has run. */
+/** Cancels a scheduled task; has no effect once the task has run. */
 public typealias Cancel = () -> Unit
 
 /** Runs a task on the node's event loop after a delay. */
@@ -23,27 +23,27 @@
     public fun close()
 }
 
-/** What happens on a [MemberLink]; called on the node's event loop. */
+/** Callbacks of a [MemberLink], called on the node's event loop. */
 public interface MemberLinkEvents {
     /** The member accepted the connection; its log ends at [point]. */
     public fun opened(point: HistoryPoint?)
 
-    /** The member answered the oldest open command. */
+    /** The member answered the oldest pending command. */
     public fun replied(reply: MemberReply)
 
-    /** The connection has ended or never came to be. Called once. */
+    /** The connection has ended or could not be opened. Called once. */
     public fun closed(end: LinkEnd)
 }
 
 /** How a connection to a member ended. */
 public sealed interface LinkEnd {
-    /** The member turned the connection away. */
+    /** The member rejected the connection. */
     public data class Rejected(val code: RejectionCode, val detail: String) : LinkEnd
 
     /** Nothing listens at the member's address. */
     public data class Refused(val detail: String) : LinkEnd
 
-    /** It was reset, closed, or silent for too long. */
+    /** The connection was reset, closed or timed out. */
     public data class Broken(val detail: String) : LinkEnd
 }
 
@@ -52,9 +52,9 @@
 
 /** The caller's end of a session; used on the node's event loop only. */
 public interface SessionPeer {
-    /** Sends the reply to the oldest open statement. */
+    /** Sends the reply to the oldest pending statement. */
     public fun reply(reply: SessionReply)
 
-    /** Closes the connection after what was sent. */
+    /** Closes the connection after all replies were sent. */
     public fun close()
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/AnswerFacts.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/RoutingDetails.kt
@@ -5,15 +5,15 @@
 import kotlin.time.Duration
 
 /**
- * What decided the answer to a statement.
+ * Routing of one statement, for the log and metrics.
  *
- * @property member the member that answered, or that was tried last; null where none was.
+ * @property member the member that answered or was tried last; null if none was tried.
  * @property attempts members that the statement was offered to.
- * @property required point that a replica had to have reached; null where the primary served.
- * @property proofAge age of the newest proof of the primary's lead when the member was chosen; null without any.
- * @property waited time from the arrival until a slot and a connection were there; null where they never were.
+ * @property required point that a replica must have reached; null if the primary served.
+ * @property proofAge age of the newest proof of the primary's lead when the member was selected; null without one.
+ * @property waited time from the arrival until a slot and a connection were acquired; null if they never were.
  */
-internal data class AnswerFacts(
+internal data class RoutingDetails(
     val member: MemberName? = null,
     val attempts: Int = 0,
     val required: HistoryPoint? = null,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SessionServices.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SessionServices.kt
@@ -6,19 +6,19 @@
 import kotlin.time.Duration
 
 /**
- * What a session uses of its node.
+ * Functions of the node that a session uses.
  *
  * @property route the route in force for a database name.
- * @property onAnswer called with each final reply to a statement that was for a member.
+ * @property onAnswer called with each final reply to a statement that needed a member.
  * @property onReply called after a reply was sent.
  * @property onEnd called once when a session has ended.
  */
 internal class SessionServices(
     val environment: NodeEnvironment,
     val route: (database: String) -> InteractiveRoute?,
-    val group: (DatabaseName) -> GroupLanes,
+    val group: (DatabaseName) -> GroupPools,
     val transactionIdle: () -> Duration,
-    val onAnswer: (StatementCall, SessionReply, AnswerFacts) -> Unit,
+    val onAnswer: (StatementCall, SessionReply, RoutingDetails) -> Unit,
     val onReply: (InteractiveSession) -> Unit,
     val onEnd: (InteractiveSession) -> Unit,
 )
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SessionTransaction.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SessionTransaction.kt
@@ -15,77 +15,80 @@
 import kotlin.time.Duration
 
 /**
- * An interactive transaction of one session. Its connection is chosen by the first statement, since nothing needs a
- * member before, and stays the same until the end.
+ * An interactive transaction of one session. The first statement selects its connection, since no member is needed
+ * before; the connection then stays the same until the end.
  */
 internal class SessionTransaction(
     val route: InteractiveRoute,
     private val readOnly: Boolean,
-    private val group: GroupLanes,
+    private val group: GroupPools,
     private val environment: NodeEnvironment,
 ) {
     private val search = MemberSearch(
-        flexible = readOnly && route.consistency != ReadConsistency.CURRENT,
+        replicaAllowed = readOnly && route.consistency != ReadConsistency.CURRENT,
         group = group,
         environment = environment,
     )
-    private var lane: MemberLane? = null
+    private var pool: MemberPool? = null
     private var link: PooledLink? = null
     private var connectedFor: RequestId? = null
 
-    /** What decided where [call] ran; a statement that found the connection there did not wait for it. */
-    fun facts(call: StatementCall): AnswerFacts =
+    /** Routing details of [call]; a statement that reused the transaction's connection has a wait of zero. */
+    fun facts(call: StatementCall): RoutingDetails =
         if (call.request == connectedFor) search.facts else search.facts.copy(waited = Duration.ZERO)
 
-    private val member: MemberName? get() = lane?.member?.name
+    private val member: MemberName? get() = pool?.member?.name
 
-    /** Whether a statement has failed, so that only the end is left. */
+    /** Whether a statement has failed; only a commit or a rollback is then accepted. */
     var failed: Boolean = false
         private set
 
-    /** Whether the session was told that the transaction has failed. */
-    var reported: Boolean = false
+    /** Whether the failure was reported to the caller. */
+    var failureReported: Boolean = false
 
     /** Runs [call] in the transaction. */
     fun run(call: StatementCall, done: (SessionReply) -> Unit) {
-        val open = link
+        val connection = link
         when {
             readOnly && call.access == StatementAccess.WRITE ->
                 fail(RejectionCode.READ_ONLY, "the transaction only reads", done)
-            open == null -> begin(call) { problem -> if (problem == null) run(call, done) else fail(problem, done) }
-            open.isClosed -> fail(RejectionCode.ABORTED, "the connection to $member has ended", done)
-            else -> open.prepareFor(call.values, call.plan, environment.limits.settling) {
-                prepared(open, it, call, done)
+            connection == null -> begin(call) { problem ->
+                if (problem == null) run(call, done) else fail(problem, done)
+            }
+            connection.isClosed -> fail(RejectionCode.ABORTED, "the connection to $member has ended", done)
+            else -> connection.prepareFor(call.values, call.plan, environment.limits.sessionSetupTimeout) {
+                prepared(connection, it, call, done)
             }
         }
     }
 
-    /** Commits; [done] gets the reply and the point of the commit, where it succeeded. */
+    /** Commits; [done] gets the reply and, if it succeeded, the point of the commit. */
     fun commit(call: StatementCall, done: (SessionReply, HistoryPoint?) -> Unit) {
-        val open = link
+        val connection = link
         when {
-            open == null -> begin(call) { problem ->
+            connection == null -> begin(call) { problem ->
                 if (problem == null) commit(call, done) else fail(problem) { done(it, null) }
             }
-            open.isClosed -> fail(RejectionCode.ABORTED, "the connection to $member has ended") { done(it, null) }
-            else -> open.run(listOf(MemberCommand.Commit(call.request, call.text)), call.deadline - environment.now()) {
-                committed(open, it, done)
-            }
+            connection.isClosed -> fail(RejectionCode.ABORTED, "the connection to $member has ended") { done(it, null) }
+            else -> connection.run(
+                listOf(MemberCommand.Commit(call.request, call.text)),
+                call.deadline - environment.now(),
+            ) { committed(connection, it, done) }
         }
     }
 
-    /** Rolls back whatever was done, without waiting for the member. */
+    /** Marks the transaction as failed and rolls it back without waiting for the member. */
     fun abandon() {
         failed = true
-        val open = link ?: return
+        val connection = link ?: return
         link = null
-        // A statement under way ends first; its result finds the transaction abandoned and rolls back.
-        if (!open.isClosed && !open.isBusy) rollBack(open)
+        // A running statement ends first; its result handler then finds the transaction abandoned and rolls back.
+        if (!connection.isClosed && !connection.isBusy) rollBack(connection)
     }
 
-    private fun rollBack(open: PooledLink) {
-        open.memory = open.memory.copy(uncertain = true)
-        lane?.let { open.rollBackInto(it, environment.limits.settling) }
+    private fun rollBack(connection: PooledLink) {
+        connection.memory = connection.memory.copy(uncertain = true)
+        pool?.let { connection.rollBackAndRelease(it, environment.limits.sessionSetupTimeout) }
     }
 
     private fun begin(call: StatementCall, done: (StatementResult.Rejected?) -> Unit) {
@@ -99,93 +102,93 @@
     }
 
     private fun offer(found: SearchResult.Found, call: StatementCall, done: (StatementResult.Rejected?) -> Unit) {
-        val chosen = found.lane
+        val chosen = found.pool
         chosen.submit(
-            LaneWork(
+            PoolRequest(
                 item = call.workItem(),
-                granted = { open, slot ->
-                    search.granted(call)
+                granted = { connection, slot ->
+                    search.recordGrant(call)
                     connectedFor = call.request
-                    // The statements of a transaction go on without a slot of the lane; the connection bounds them.
-                    slot.end(ran = false, answered = true)
-                    open(chosen, open, found.required, call, done)
+                    // Statements of a transaction use no slot of the pool; the connection limits them to one at a time.
+                    slot.release(ran = false, answered = true)
+                    beginAt(chosen, connection, found.required, call, done)
                 },
                 refused = { done(StatementResult.Rejected(RejectionCode.BUSY, "member ${chosen.member.name}: $it")) },
             ),
         )
     }
 
-    private fun open(
-        chosen: MemberLane,
-        open: PooledLink,
+    private fun beginAt(
+        chosen: MemberPool,
+        connection: PooledLink,
         needed: HistoryPoint?,
         call: StatementCall,
         done: (StatementResult.Rejected?) -> Unit,
     ) {
         val atReplica = needed != null && !group.leads(chosen)
         val begin = MemberCommand.Begin(readOnly = atReplica, after = needed.takeIf { atReplica })
-        open.run(listOf(begin), environment.limits.settling) { result ->
+        connection.run(listOf(begin), environment.limits.sessionSetupTimeout) { result ->
             val reply = (result as? BatchResult.Answered)?.replies?.first()
             if (reply != null && reply.isCompleted && failed) {
-                // The caller has left meanwhile; nothing else would end what has just begun.
-                open.rollBackInto(chosen, environment.limits.settling)
+                // The caller has disconnected meanwhile; nothing else would end the new transaction.
+                connection.rollBackAndRelease(chosen, environment.limits.sessionSetupTimeout)
             } else if (reply != null && reply.isCompleted) {
-                lane = chosen
-                link = open
+                pool = chosen
+                link = connection
                 done(null)
             } else {
-                if (reply?.state == TransactionState.IDLE) chosen.putBack(open) else open.close()
+                if (reply?.state == TransactionState.IDLE) chosen.releaseLink(connection) else connection.close()
                 search.exclude(chosen)
-                search.later { begin(call, done) }
+                search.scheduleRetry { begin(call, done) }
             }
         }
     }
 
-    private fun prepared(open: PooledLink, ready: Boolean, call: StatementCall, done: (SessionReply) -> Unit) {
+    private fun prepared(connection: PooledLink, ready: Boolean, call: StatementCall, done: (SessionReply) -> Unit) {
         when {
-            // The caller has left meanwhile; nothing else would end the transaction.
-            link !== open -> rollBack(open)
-            ready -> execute(open, call, done)
+            // The caller has disconnected meanwhile; nothing else would end the transaction.
+            link !== connection -> rollBack(connection)
+            ready -> execute(connection, call, done)
             else -> fail(RejectionCode.ABORTED, "$member took no values", done)
         }
     }
 
-    private fun execute(open: PooledLink, call: StatementCall, done: (SessionReply) -> Unit) {
-        val left = (call.deadline - environment.now()).coerceAtLeast(environment.limits.retryPause)
-        open.run(listOf(call.command(null)), left) { result ->
+    private fun execute(connection: PooledLink, call: StatementCall, done: (SessionReply) -> Unit) {
+        val remaining = (call.deadline - environment.now()).coerceAtLeast(environment.limits.retryDelay)
+        connection.run(listOf(call.command(null)), remaining) { result ->
             when (result) {
-                is BatchResult.Answered -> answered(open, result.replies.first(), done)
+                is BatchResult.Answered -> answered(connection, result.replies.first(), done)
                 is BatchResult.Broken -> fail(RejectionCode.ABORTED, "$member: ${result.end}", done)
             }
         }
     }
 
-    private fun answered(open: PooledLink, reply: MemberReply, done: (SessionReply) -> Unit) {
+    private fun answered(connection: PooledLink, reply: MemberReply, done: (SessionReply) -> Unit) {
         when {
-            link !== open -> rollBack(open)
+            link !== connection -> rollBack(connection)
             reply.isCompleted && reply.state == TransactionState.OPEN ->
                 done(SessionReply(reply.rows, reply.result, TransactionState.OPEN))
             reply.isCompleted -> fail(RejectionCode.ABORTED, "$member lost the transaction", done)
             else -> {
                 failed = true
                 link = null
-                rollBack(open)
+                rollBack(connection)
                 done(SessionReply(emptyList(), reply.result, TransactionState.FAILED))
             }
         }
     }
 
-    private fun committed(open: PooledLink, result: BatchResult, done: (SessionReply, HistoryPoint?) -> Unit) {
+    private fun committed(connection: PooledLink, result: BatchResult, done: (SessionReply, HistoryPoint?) -> Unit) {
         link = null
         when (result) {
             is BatchResult.Broken -> {
-                val doubt = StatementResult.Rejected(RejectionCode.IN_DOUBT, "$member: ${result.end}")
-                done(SessionReply(emptyList(), doubt, TransactionState.IDLE), null)
+                val inDoubt = StatementResult.Rejected(RejectionCode.IN_DOUBT, "$member: ${result.end}")
+                done(SessionReply(emptyList(), inDoubt, TransactionState.IDLE), null)
             }
 
             is BatchResult.Answered -> {
                 val reply = result.replies.first()
-                if (reply.state == TransactionState.IDLE) lane?.putBack(open) else open.close()
+                if (reply.state == TransactionState.IDLE) pool?.releaseLink(connection) else connection.close()
                 val written = reply.point.takeIf { reply.isCompleted && !readOnly }
                 done(SessionReply(reply.rows, reply.result, TransactionState.IDLE), written)
             }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SingleStatement.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/SingleStatement.kt
@@ -10,21 +10,21 @@
 import dev.kumquatknot.core.interactive.StatementResult
 import dev.kumquatknot.core.interactive.TransactionState
 
-/** How a statement outside a transaction ended; [written] is the point of its commit, where it wrote. */
-internal data class SingleOutcome(val reply: SessionReply, val written: HistoryPoint?, val facts: AnswerFacts)
+/** Outcome of a statement outside a transaction; [written] is the point of its commit, or null if it wrote nothing. */
+internal data class StatementOutcome(val reply: SessionReply, val written: HistoryPoint?, val facts: RoutingDetails)
 
 /**
- * Runs one statement outside a transaction: chooses a member, waits for a slot there, and goes on to another member
- * where the statement surely did not run, or only reads.
+ * Runs one statement outside a transaction: selects a member, waits for a slot there, and retries at another member
+ * if the statement certainly did not run or is a read.
  */
 internal class SingleStatement(
     private val call: StatementCall,
-    private val group: GroupLanes,
+    private val group: GroupPools,
     private val environment: NodeEnvironment,
-    private val done: (SingleOutcome) -> Unit,
+    private val done: (StatementOutcome) -> Unit,
 ) {
     private val search = MemberSearch(
-        flexible = call.access == StatementAccess.READ && call.route.consistency != ReadConsistency.CURRENT,
+        replicaAllowed = call.access == StatementAccess.READ && call.route.consistency != ReadConsistency.CURRENT,
         group = group,
         environment = environment,
     )
@@ -32,74 +32,74 @@
 
     fun start() = search.next(call) { result ->
         when (result) {
-            is SearchResult.Found -> offer(result.lane, result.required)
+            is SearchResult.Found -> offer(result.pool, result.required)
             is SearchResult.Exhausted -> fail(lastCode, result.detail)
         }
     }
 
-    private fun offer(lane: MemberLane, required: HistoryPoint?) = lane.submit(
-        LaneWork(
+    private fun offer(pool: MemberPool, required: HistoryPoint?) = pool.submit(
+        PoolRequest(
             item = call.workItem(),
             granted = { link, slot ->
-                search.granted(call)
-                prepare(lane, link, slot, required)
+                search.recordGrant(call)
+                prepare(pool, link, slot, required)
             },
-            refused = { refusal -> fail(RejectionCode.BUSY, "member ${lane.member.name}: $refusal") },
+            refused = { refusal -> fail(RejectionCode.BUSY, "member ${pool.member.name}: $refusal") },
         ),
     )
 
-    private fun prepare(lane: MemberLane, link: PooledLink, slot: LaneSlot, required: HistoryPoint?) {
-        link.prepareFor(call.values, call.plan, environment.limits.settling) { ready ->
+    private fun prepare(pool: MemberPool, link: PooledLink, slot: PoolSlot, required: HistoryPoint?) {
+        link.prepareFor(call.values, call.plan, environment.limits.sessionSetupTimeout) { ready ->
             if (ready) {
-                run(lane, link, slot, required)
+                run(pool, link, slot, required)
             } else {
                 link.close()
-                slot.end(ran = false, answered = false)
-                again(lane, RejectionCode.BUSY)
+                slot.release(ran = false, answered = false)
+                retry(pool, RejectionCode.BUSY)
             }
         }
     }
 
-    private fun run(lane: MemberLane, link: PooledLink, slot: LaneSlot, required: HistoryPoint?) {
-        val provesLead = call.access == StatementAccess.READ && (group.leads(lane) || required == null)
+    private fun run(pool: MemberPool, link: PooledLink, slot: PoolSlot, required: HistoryPoint?) {
+        val provesLead = call.access == StatementAccess.READ && (group.leads(pool) || required == null)
         val commands = if (provesLead) {
             listOf(call.command(null), MemberCommand.Begin(readOnly = false), MemberCommand.Rollback)
         } else {
             listOf(call.command(required.takeIf { call.access == StatementAccess.READ }))
         }
-        val left = call.deadline - environment.now()
-        if (!left.isPositive()) {
-            lane.putBack(link)
-            slot.end(ran = false, answered = true)
+        val remaining = call.deadline - environment.now()
+        if (!remaining.isPositive()) {
+            pool.releaseLink(link)
+            slot.release(ran = false, answered = true)
             return fail(RejectionCode.BUSY, "no time was left when a connection came")
         }
-        val timeout = if (call.access == StatementAccess.READ) search.attemptTime(left) else left
-        link.run(commands, timeout) { result -> ended(lane, link, slot, result, provesLead) }
+        val timeout = if (call.access == StatementAccess.READ) search.attemptTimeout(remaining) else remaining
+        link.run(commands, timeout) { result -> ended(pool, link, slot, result, provesLead) }
     }
 
-    private fun ended(lane: MemberLane, link: PooledLink, slot: LaneSlot, result: BatchResult, provesLead: Boolean) {
-        slot.end(ran = true, answered = result is BatchResult.Answered)
+    private fun ended(pool: MemberPool, link: PooledLink, slot: PoolSlot, result: BatchResult, provesLead: Boolean) {
+        slot.release(ran = true, answered = result is BatchResult.Answered)
         when (result) {
-            is BatchResult.Answered -> answered(lane, link, result.replies, provesLead)
-            is BatchResult.Broken -> broken(lane, result)
+            is BatchResult.Answered -> answered(pool, link, result.replies, provesLead)
+            is BatchResult.Broken -> broken(pool, result)
         }
     }
 
-    private fun broken(lane: MemberLane, result: BatchResult.Broken) {
+    private fun broken(pool: MemberPool, result: BatchResult.Broken) {
         if (call.access == StatementAccess.WRITE) {
-            fail(RejectionCode.IN_DOUBT, "member ${lane.member.name}: ${result.end}")
+            fail(RejectionCode.IN_DOUBT, "member ${pool.member.name}: ${result.end}")
         } else {
-            again(lane, if (environment.now() < call.deadline) RejectionCode.ABORTED else RejectionCode.TIMED_OUT)
+            retry(pool, if (environment.now() < call.deadline) RejectionCode.ABORTED else RejectionCode.TIMED_OUT)
         }
     }
 
-    private fun answered(lane: MemberLane, link: PooledLink, replies: List<MemberReply>, provesLead: Boolean) {
-        if (replies.last().state == TransactionState.IDLE) lane.putBack(link) else link.close()
+    private fun answered(pool: MemberPool, link: PooledLink, replies: List<MemberReply>, provesLead: Boolean) {
+        if (replies.last().state == TransactionState.IDLE) pool.releaseLink(link) else link.close()
         val reply = replies.first()
         val code = reply.rejection
         when {
-            code != null && mayRepeat(code, call.access) -> again(lane, code)
-            code == null && provesLead && !replies[1].isCompleted -> again(lane, RejectionCode.READ_ONLY)
+            code != null && mayRetry(code, call.access) -> retry(pool, code)
+            code == null && provesLead && !replies[1].isCompleted -> retry(pool, RejectionCode.READ_ONLY)
             else -> finish(reply)
         }
     }
@@ -107,7 +107,7 @@
     private fun finish(reply: MemberReply) {
         val written = reply.point.takeIf { call.access == StatementAccess.WRITE && reply.isCompleted }
         done(
-            SingleOutcome(
+            StatementOutcome(
                 SessionReply(reply.rows, reply.result, TransactionState.IDLE),
                 written,
                 search.facts,
@@ -115,18 +115,18 @@
         )
     }
 
-    private fun again(lane: MemberLane, code: RejectionCode) {
+    private fun retry(pool: MemberPool, code: RejectionCode) {
         lastCode = code
-        search.exclude(lane)
+        search.exclude(pool)
         when (code) {
             RejectionCode.TIMED_OUT -> fail(code, "no answer from ${search.excluded.joinToString()} in time")
-            RejectionCode.BUSY, RejectionCode.READ_ONLY -> search.later { start() }
+            RejectionCode.BUSY, RejectionCode.READ_ONLY -> search.scheduleRetry { start() }
             else -> start()
         }
     }
 
     private fun fail(code: RejectionCode, detail: String) {
         val result = StatementResult.Rejected(code, detail)
-        done(SingleOutcome(SessionReply(emptyList(), result, TransactionState.IDLE), null, search.facts))
+        done(StatementOutcome(SessionReply(emptyList(), result, TransactionState.IDLE), null, search.facts))
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementCall.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementCall.kt
@@ -14,11 +14,11 @@
 import kotlin.time.Duration
 
 /**
- * A caller's statement for a member, with the session values under which it runs.
+ * A caller's statement that needs a member, with the session values under which it runs.
  *
- * @property plan the prepared statement that it runs; null where [text] is the whole statement.
+ * @property plan the prepared statement to execute; null if [text] is the whole statement.
  * @property text the statement, or the arguments of the plan.
- * @property own newest point that the session has written; null where it wrote nothing.
+ * @property lastWritten newest point that the session has written; null if it wrote nothing.
  */
 internal data class StatementCall(
     val request: RequestId,
@@ -27,15 +27,17 @@
     val plan: StatementPlan?,
     val text: String,
     val values: Map<String, String>,
-    val own: HistoryPoint?,
+    val lastWritten: HistoryPoint?,
     val startedAt: Duration,
 ) {
     val deadline: Duration get() = startedAt + route.statementTimeout
 
-    /** Until when the statement waits for a primary to show up; after that its caller had better come again. */
-    val waitsForPrimaryUntil: Duration get() = startedAt + route.target * PRIMARY_WAIT_PART
+    /**
+     * Time until which the statement waits for an unknown primary; after that it is rejected and the caller may retry.
+     */
+    val waitsForPrimaryUntil: Duration get() = startedAt + route.target * PRIMARY_WAIT_SHARE
 
-    /** Returns the command that runs the statement at a member that has reached [after]. */
+    /** Returns the command that runs the statement at a member that must have reached [after]. */
     fun command(after: HistoryPoint?): MemberCommand =
         if (plan == null) {
             MemberCommand.Run(request, access, text, after)
@@ -43,7 +45,7 @@
             MemberCommand.Execute(request, access, ConnectionMemory.planName(plan), text, after)
         }
 
-    /** Returns how the statement asks for a slot. */
+    /** Returns the admission request of the statement. */
     fun workItem(): WorkItem = WorkItem(
         id = request,
         team = TeamName(route.group.value),
@@ -55,13 +57,16 @@
     )
 
     private companion object {
-        /** A part that leaves time for the statement itself and for a retry elsewhere. */
-        const val PRIMARY_WAIT_PART = 0.25
+        /** Share of the target latency; leaves time for the statement itself and for a retry at another member. */
+        const val PRIMARY_WAIT_SHARE = 0.25
     }
 }
 
-/** Whether a statement that was rejected with [code] may be sent to a member again: it surely did not run. */
-internal fun mayRepeat(code: RejectionCode, access: StatementAccess): Boolean =
+/**
+ * Whether a statement that was rejected with [code] may be sent to a member again: it certainly did not run, or is a
+ * read.
+ */
+internal fun mayRetry(code: RejectionCode, access: StatementAccess): Boolean =
     code.notRun &&
         code != RejectionCode.MALFORMED &&
         code != RejectionCode.TOO_LARGE ||
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementRecorder.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementRecorder.kt
@@ -5,8 +5,8 @@
 import dev.kumquatknot.proxy.event.Event
 
 /**
- * Logs and counts the answers to statements that were for a member. Rejections are all logged. Successes are logged up
- * to a limit each second, and the number left out goes into the next second's first line.
+ * Logs and counts the answers to statements that needed a member. All rejections are logged. Successes are logged up
+ * to a limit a second; the next logged line has the number of omitted ones.
  */
 internal class StatementRecorder(
     private val environment: NodeEnvironment,
@@ -16,7 +16,7 @@
     private var logged = 0
     private var omitted = 0
 
-    fun record(call: StatementCall, reply: SessionReply, facts: AnswerFacts) {
+    fun record(call: StatementCall, reply: SessionReply, facts: RoutingDetails) {
         val rejection = reply.result as? StatementResult.Rejected
         metrics.statementEnded(call.route, rejection?.code, environment.now() - call.startedAt, facts.waited)
         if (rejection != null) {
@@ -32,12 +32,12 @@
             second = now
             logged = 0
         }
-        val allowed = logged < MOST_SUCCESSES
+        val allowed = logged < MAXIMUM_LOGGED_SUCCESSES
         if (allowed) logged++ else omitted++
         return allowed
     }
 
-    private fun log(event: Event, call: StatementCall, facts: AnswerFacts, rejection: StatementResult.Rejected?) {
+    private fun log(event: Event, call: StatementCall, facts: RoutingDetails, rejection: StatementResult.Rejected?) {
         val left = omitted
         omitted = 0
         environment.events.log(
@@ -59,7 +59,10 @@
     }
 
     private companion object {
-        /** Lines a second for successes; some 300 bytes each, a few per cent of what the processor does for them. */
-        const val MOST_SUCCESSES = 50
+        /**
+         * Logged successes a second; a line has some 300 bytes and costs a few per cent of the statement's processor
+         * time.
+         */
+        const val MAXIMUM_LOGGED_SUCCESSES = 50
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/FakeGroup.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/FakeGroup.kt
@@ -16,7 +16,7 @@
 import dev.kumquatknot.core.interactive.TransactionState
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What one statement of a caller met at a member. */
+/** Execution of one caller statement at a member, with the session values and the connection it ran on. */
 internal data class RunRecord(
     val member: String,
     val request: String,
@@ -25,13 +25,13 @@
     val state: TransactionState,
 )
 
-/** A database group in memory: three members, of which one leads; replicas apply when told to. */
+/** A database group in memory: three members, of which one leads; replicas apply commits only on [replicate]. */
 internal class FakeGroup(private val loop: VirtualLoop) {
     val runs = ArrayList<RunRecord>()
     val members = listOf("a", "b", "c").map { FakeMember(it, loop, this) }
     private var connections = 0
 
-    /** Member that leads. */
+    /** The primary. */
     var leader = members[0]
 
     /** Called before a member answers a command. */
@@ -68,19 +68,19 @@
 internal class FakeMember(val name: String, private val loop: VirtualLoop, private val group: FakeGroup) {
     var applied = HistoryPoint(Term(1), LogPosition(0))
 
-    /** Statements whose answers get lost, by the request's id. */
-    val lost = HashSet<String>()
+    /** Request ids of statements that run but whose answers get lost. */
+    val lostAnswers = HashSet<String>()
 
-    /** Rejections to give instead of running, by the request's id. */
+    /** Request ids of statements to reject instead of running, with the code. */
     val rejections = HashMap<String, RejectionCode>()
 
-    /** Whether the member answers nothing, as after a loss of its machine. */
-    var dark = false
+    /** Whether the member answers nothing, as after a failure of its VM. */
+    var unreachable = false
 
-    /** Whether questions about the member itself stay unanswered. */
+    /** Whether reports stay unanswered. */
     var hidesReports = false
 
-    /** Time that an opening takes. */
+    /** Time that opening a connection takes. */
     var openingTime = LATENCY
 
     /** Connections that were opened so far. */
@@ -107,14 +107,14 @@
         private val values = HashMap<String, String>()
         private val plans = HashSet<String>()
         private var state = TransactionState.IDLE
-        private var plain = false
+        private var updatable = false
         private var wrote = false
         private var silent = false
         private var closed = false
 
         fun start() {
             opened++
-            loop.schedule(openingTime) { if (!closed && !dark) events.opened(end) }
+            loop.schedule(openingTime) { if (!closed && !unreachable) events.opened(end) }
         }
 
         override fun send(commands: List<MemberCommand>) {
@@ -126,7 +126,7 @@
         }
 
         private fun answer(command: MemberCommand) {
-            if (closed || silent || dark) return
+            if (closed || silent || unreachable) return
             if (hidesReports && command is MemberCommand.Report) silent = true
             group.beforeAnswer(command)
             val result = execute(command)
@@ -167,21 +167,21 @@
             if (!command.readOnly && !leads) return rejected(RejectionCode.READ_ONLY)
             if (command.after?.let { it > end } == true) return rejected(RejectionCode.LAGGING)
             state = TransactionState.OPEN
-            plain = !command.readOnly
+            updatable = !command.readOnly
             wrote = false
             return completed()
         }
 
         private fun run(request: String, access: StatementAccess, after: HistoryPoint?): StatementResult {
             rejections[request]?.let { return rejected(it) }
-            val needsLead = access == StatementAccess.WRITE || (state == TransactionState.OPEN && plain)
+            val needsLead = access == StatementAccess.WRITE || (state == TransactionState.OPEN && updatable)
             if (needsLead && !leads) return rejected(RejectionCode.READ_ONLY)
             if (after != null && after > end) return rejected(RejectionCode.LAGGING)
             group.runs += RunRecord(name, request, values.toMap(), number, state)
             if (access == StatementAccess.WRITE) {
                 if (state == TransactionState.IDLE) group.commits++ else wrote = true
             }
-            if (request in lost) silent = true
+            if (request in lostAnswers) silent = true
             return StatementResult.Completed("signature-$request")
         }
 
@@ -189,7 +189,7 @@
             state = TransactionState.IDLE
             if (wrote && !leads) return rejected(RejectionCode.READ_ONLY)
             if (wrote) group.commits++
-            if (command.request.value in lost) silent = true
+            if (command.request.value in lostAnswers) silent = true
             return StatementResult.Completed("signature-${command.request.value}")
         }
 
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNodeSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNodeSpec.kt
@@ -70,7 +70,7 @@
 
     private fun startNode() {
         node.configure(configuration(1))
-        node.discovered(group.discovered())
+        node.updateMembers(group.discovered())
         node.start()
         loop.advance(1.seconds)
     }
@@ -99,7 +99,7 @@
         fun ask(request: String, statement: SessionStatement): SessionReply {
             val before = replies.size
             send(request, statement)
-            repeat(MOST_STEPS) { if (replies.size == before) loop.advance(10.milliseconds) }
+            repeat(MAXIMUM_STEPS) { if (replies.size == before) loop.advance(10.milliseconds) }
             return replies.last()
         }
 
@@ -115,7 +115,7 @@
     @Nested
     inner class `a read` {
         @Test
-        fun `with bounded staleness runs at the replica nearby`() {
+        fun `with bounded staleness runs at the nearest replica`() {
             startNode()
             expectThat(Caller("bounded").read("r").result).isEqualTo(StatementResult.Completed("signature-r"))
             expectThat(runOf("r").map { it.member }).containsExactly("b")
@@ -129,7 +129,7 @@
         }
 
         @Test
-        fun `of current data is never answered by a primary that lost its lead meanwhile`() {
+        fun `of current data is never answered by a former primary`() {
             startNode()
             group.replicate()
             group.promote(2)
@@ -138,7 +138,7 @@
         }
 
         @Test
-        fun `after a write of its session leaves replicas that do not have it`() {
+        fun `after a write of its session does not run at replicas that lack the write`() {
             startNode()
             val caller = Caller("own")
             caller.write("w")
@@ -147,7 +147,7 @@
         }
 
         @Test
-        fun `after a write of its session runs at a replica that has it`() {
+        fun `after a write of its session runs at a replica that has the write`() {
             startNode()
             val caller = Caller("own")
             caller.write("w")
@@ -160,7 +160,7 @@
         @Test
         fun `whose answer is lost is answered by another member`() {
             startNode()
-            group.members[1].lost += "r"
+            group.members[1].lostAnswers += "r"
             val caller = Caller("bounded")
             caller.send("r", SessionStatement.Run(StatementAccess.READ, "READ 1"))
             loop.advance(700.milliseconds)
@@ -179,7 +179,7 @@
         }
 
         @Test
-        fun `goes on to the new primary where the old one refused it`() {
+        fun `is retried at the new primary after the old one rejected it`() {
             startNode()
             group.replicate()
             group.promote(1)
@@ -190,7 +190,7 @@
         @Test
         fun `whose answer is lost is in doubt and not sent again`() {
             startNode()
-            group.members[0].lost += "w"
+            group.members[0].lostAnswers += "w"
             val caller = Caller("own")
             caller.send("w", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
             loop.advance(1.seconds)
@@ -209,7 +209,7 @@
     @Nested
     inner class `a transaction` {
         @Test
-        fun `stays on one connection, which no other session gets meanwhile`() {
+        fun `keeps one connection that no other session uses meanwhile`() {
             startNode()
             val caller = Caller("own")
             caller.ask("b", SessionStatement.Begin(readOnly = false))
@@ -224,7 +224,7 @@
         }
 
         @Test
-        fun `is rolled back where its caller leaves`() {
+        fun `is rolled back when its caller disconnects`() {
             startNode()
             val caller = Caller("own")
             caller.ask("b", SessionStatement.Begin(readOnly = false))
@@ -235,9 +235,9 @@
         }
 
         @Test
-        fun `whose caller leaves before it has begun at a member runs nothing and keeps no connection`() {
+        fun `whose caller disconnects before it began at a member runs nothing and leaks no connection`() {
             startNode()
-            repeat(MOST_CONNECTIONS) { index ->
+            repeat(CONNECTION_LIMIT) { index ->
                 val caller = Caller("own")
                 caller.ask("b$index", SessionStatement.Begin(readOnly = false))
                 caller.send("w$index", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
@@ -248,8 +248,8 @@
             expectThat(Caller("own").write("next").result).isA<StatementResult.Completed>()
         }
 
-        private fun leaveWhileValuesAreSet() {
-            repeat(MOST_CONNECTIONS) { index ->
+        private fun disconnectWhileValuesAreSet() {
+            repeat(CONNECTION_LIMIT) { index ->
                 val caller = Caller("own")
                 group.beforeAnswer = { if (it is MemberCommand.SetValue) caller.session.disconnected() }
                 caller.ask("s$index", SessionStatement.SetValue("zone", "$index"))
@@ -261,23 +261,23 @@
         }
 
         @Test
-        fun `whose caller leaves while its values are set runs nothing`() {
+        fun `whose caller disconnects while its values are set runs nothing`() {
             startNode()
-            leaveWhileValuesAreSet()
+            disconnectWhileValuesAreSet()
             expectThat(group.runs.filter { it.request.startsWith("w") }).isEmpty()
             expectThat(Caller("own").write("next").result).isA<StatementResult.Completed>()
         }
 
         @Test
-        fun `whose caller leaves while its values are rejected keeps no connection`() {
+        fun `whose caller disconnects while its values are rejected leaks no connection`() {
             startNode()
             group.members[0].rejectsValues = true
-            leaveWhileValuesAreSet()
+            disconnectWhileValuesAreSet()
             expectThat(Caller("own").write("next").result).isA<StatementResult.Completed>()
         }
 
         @Test
-        fun `that has failed takes nothing but its end, and does not commit`() {
+        fun `that has failed accepts only its end and does not commit`() {
             startNode()
             group.members[0].rejections["w"] = RejectionCode.BUSY
             val caller = Caller("own")
@@ -292,7 +292,7 @@
         @Test
         fun `whose commit gets no answer is in doubt`() {
             startNode()
-            group.members[0].lost += "c"
+            group.members[0].lostAnswers += "c"
             val caller = Caller("own")
             caller.ask("b", SessionStatement.Begin(readOnly = false))
             caller.write("w")
@@ -302,7 +302,7 @@
         }
 
         @Test
-        fun `that idles too long is rolled back and says so at its next statement`() {
+        fun `that idles too long is rolled back and its next statement is rejected`() {
             startNode()
             val caller = Caller("own")
             caller.ask("b", SessionStatement.Begin(readOnly = false))
@@ -316,7 +316,7 @@
     @Nested
     inner class `session values and plans` {
         @Test
-        fun `are there wherever a statement runs, and nobody else's`() {
+        fun `are set on every connection a statement runs on, without those of other sessions`() {
             startNode()
             val first = Caller("bounded")
             first.ask("s", SessionStatement.SetValue("v", "1"))
@@ -328,7 +328,7 @@
         }
 
         @Test
-        fun `run under the caller's name whatever the connection calls them`() {
+        fun `run under the caller's name for them whatever their name on the connection`() {
             startNode()
             val caller = Caller("bounded")
             caller.ask("p", SessionStatement.Prepare("s1", StatementPlan(StatementAccess.READ, "q2c")))
@@ -358,7 +358,7 @@
         }
 
         @Test
-        fun `ends with the route that it was opened on, at its next statement`() {
+        fun `is closed at its next statement after its route was removed`() {
             startNode()
             val caller = Caller("own")
             node.configure(configuration(2, setOf("bounded")))
@@ -367,7 +367,7 @@
         }
 
         @Test
-        fun `keeps the newest configuration when an older one comes late`() {
+        fun `keeps the newest configuration when an older one arrives late`() {
             startNode()
             node.configure(configuration(3))
             node.configure(configuration(2, emptySet()))
@@ -378,12 +378,12 @@
     @Nested
     inner class `a node that has just started` {
         @Test
-        fun `opens one connection to a member until it knows how many others hold`() {
+        fun `opens one connection to a member until the member has reported its connection count`() {
             group.members[0].hidesReports = true
             node.configure(configuration(1))
-            node.discovered(group.discovered())
+            node.updateMembers(group.discovered())
             node.start()
-            repeat(MOST_CONNECTIONS) {
+            repeat(CONNECTION_LIMIT) {
                 Caller("current").send("w$it", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
             }
             loop.advance(100.milliseconds)
@@ -394,9 +394,9 @@
     @Nested
     inner class `a transaction that takes the first connection` {
         @Test
-        fun `does not keep other sessions from having one`() {
+        fun `does not keep other sessions from getting one`() {
             node.configure(configuration(1))
-            node.discovered(group.discovered())
+            node.updateMembers(group.discovered())
             node.start()
             val first = Caller("current")
             first.send("b", SessionStatement.Begin(readOnly = false))
@@ -411,15 +411,15 @@
     @Nested
     inner class `connections that are slow to open` {
         @Test
-        fun `do not make the member look slow`() {
+        fun `do not count as service time of the member`() {
             group.members[0].openingTime = 150.milliseconds
             startNode()
             val holder = Caller("own")
             holder.ask("b", SessionStatement.Begin(readOnly = false))
             holder.write("held")
             expectThat(Caller("current").write("w").result).isA<StatementResult.Completed>()
-            val lane = node.groupLanes.single().all.first { it.member.name.value == "a" }
-            expectThat(lane.serviceTime).isLessThan(10.milliseconds)
+            val pool = node.groupPools.single().all.first { it.member.name.value == "a" }
+            expectThat(pool.serviceTime).isLessThan(10.milliseconds)
         }
     }
 
@@ -428,8 +428,8 @@
         private fun losePrimary() {
             startNode()
             group.replicate()
-            group.members[0].dark = true
-            // Reads keep the replicas answering, so that nobody asks them because they are quiet.
+            group.members[0].unreachable = true
+            // Reads keep the replicas answering, so that they are not polled for a lack of answers.
             val reader = Caller("bounded")
             repeat(SILENT_STEPS) {
                 reader.send("r$it", SessionStatement.Run(StatementAccess.READ, "READ 1"))
@@ -443,24 +443,24 @@
         }
 
         @Test
-        fun `is followed by the new one within moments, also where another VM decides failovers`() {
+        fun `is replaced by the new primary within 300 ms even if another VM decides failovers`() {
             losePrimary()
             replacePrimary()
-            expectThat(node.groupLanes.single().belief.primary?.value).isEqualTo("b")
+            expectThat(node.groupPools.single().belief.primary?.value).isEqualTo("b")
         }
 
         @Test
-        fun `fails two questions in a row before it has been silent for 1,300 ms, though its connections are gone`() {
+        fun `has two consecutive failed polls within 1,300 ms even without open connections`() {
             startNode()
             node.decidesFailovers = true
-            group.members[0].dark = true
+            group.members[0].unreachable = true
             loop.advance(1_300.milliseconds)
-            val lane = node.groupLanes.single().all.first { it.member.name.value == "a" }
-            expectThat(lane.health.failures).isGreaterThanOrEqualTo(2)
+            val pool = node.groupPools.single().all.first { it.member.name.value == "a" }
+            expectThat(pool.health.failures).isGreaterThanOrEqualTo(2)
         }
 
         @Test
-        fun `holds a write back that has the time to wait for the new one`() {
+        fun `delays a write that has enough time to wait for the new primary`() {
             losePrimary()
             val caller = Caller("patient")
             caller.send("w", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
@@ -472,7 +472,7 @@
         }
 
         @Test
-        fun `rejects at once what has no time to wait for the new one`() {
+        fun `causes immediate rejection of a write that has no time to wait for the new primary`() {
             losePrimary()
             val caller = Caller("current")
             caller.send("w", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
@@ -481,7 +481,7 @@
         }
 
         @Test
-        fun `and not replaced in the usual time holds nothing back any more`() {
+        fun `and not replaced in the usual time delays no more writes`() {
             losePrimary()
             loop.advance(4.seconds)
             val caller = Caller("patient")
@@ -496,15 +496,15 @@
         @Test
         fun `gets no new reads`() {
             startNode()
-            node.discovered(group.discovered(leaving = setOf("b")))
+            node.updateMembers(group.discovered(leaving = setOf("b")))
             Caller("bounded").read("r")
             expectThat(runOf("r").single().member).isNotEqualTo("b")
         }
 
         @Test
-        fun `gets writes as a primary only until another one must have taken over`() {
+        fun `gets writes as a primary only for the time of a handover`() {
             startNode()
-            node.discovered(group.discovered(leaving = setOf("a")))
+            node.updateMembers(group.discovered(leaving = setOf("a")))
             expectThat(Caller("own").write("w").result).isA<StatementResult.Completed>()
             loop.advance(6.seconds)
             expectThat(Caller("own").write("late").code).isEqualTo(RejectionCode.BUSY)
@@ -514,7 +514,7 @@
     @Nested
     inner class `a node that is leaving` {
         @Test
-        fun `is not ready, closes idle sessions and lets the others end`() {
+        fun `is not ready, closes idle sessions at once and the others when they become idle`() {
             startNode()
             val idle = Caller("own")
             val busy = Caller("own")
@@ -530,8 +530,8 @@
     }
 
     private companion object {
-        const val MOST_STEPS = 100
+        const val MAXIMUM_STEPS = 100
         const val SILENT_STEPS = 15
-        const val MOST_CONNECTIONS = 20
+        const val CONNECTION_LIMIT = 20
     }
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/VirtualLoop.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/VirtualLoop.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** An event loop on virtual time. */
+/** An event loop on virtual time, which passes only in [advance]. */
 internal class VirtualLoop : Clock {
     private val tasks = PriorityQueue<Task>(compareBy<Task> { it.at }.thenBy { it.number })
     private var now = 1_000.milliseconds
