--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
@@ -26,9 +26,9 @@
         val leads = group.leads(pool)
         val since = if (leads) group.proofs.latestAskedAt else pool.health.answeredAt
         val limit = when {
-            !leads -> REPLICA_POLL_AGE
-            decides -> DECIDER_PROOF_POLL_AGE
-            else -> PROOF_POLL_AGE
+            !leads -> REPLICA_AGE
+            decides -> DECIDER_PROOF_AGE
+            else -> PROOF_AGE
         }
         return since == null || !group.belief.isProved || pool.health.failures > 0 || now - since > limit
     }
@@ -40,7 +40,7 @@
     private fun pollCommands(group: GroupPools, pool: MemberPool, decides: Boolean): List<MemberCommand> {
         val reportedAt = pool.health.reportedAt
         val leads = group.belief.isProved && group.leads(pool) && pool.leavingSince == null
-        val isReportRecent = reportedAt != null && environment.now() - reportedAt < MAXIMUM_REPORT_AGE
+        val isReportRecent = reportedAt != null && environment.now() - reportedAt < REPORT_AGE
         return if (isReportRecent && (leads || !decides)) {
             listOf(MemberCommand.Begin(readOnly = false), MemberCommand.Rollback)
         } else {
@@ -82,18 +82,18 @@
 
     private companion object {
         /** Age of the newest proof above which the primary is polled; a fraction of the staleness that routes allow. */
-        val PROOF_POLL_AGE: Duration = 400.milliseconds
+        val PROOF_AGE: Duration = 400.milliseconds
 
         /** The same on a VM that decides failovers, which must detect a loss soon. */
-        val DECIDER_PROOF_POLL_AGE: Duration = 200.milliseconds
+        val DECIDER_PROOF_AGE: Duration = 200.milliseconds
 
         /** Age of the newest proof above which the primary is suspected, since a poll was not answered. */
-        val SUSPICION_AGE: Duration = PROOF_POLL_AGE * 2
+        val SUSPICION_AGE: Duration = PROOF_AGE * 2
 
         /** Age up to which a reported connection count is accurate enough to open more connections. */
-        val MAXIMUM_REPORT_AGE: Duration = 3.seconds
+        val REPORT_AGE: Duration = 3.seconds
 
         /** Age of a replica's last answer above which it is polled. */
-        val REPLICA_POLL_AGE: Duration = 2.seconds
+        val REPLICA_AGE: Duration = 2.seconds
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
@@ -79,7 +79,7 @@
      * The pool of the believed primary if it may get new work; null if the primary is unknown, lost or leaving too
      * long.
      */
-    fun primary(): MemberPool? = primaryPool?.takeIf { pool ->
+    fun availablePrimary(): MemberPool? = primaryPool?.takeIf { pool ->
         val leavingFor = pool.leavingSince?.let { environment.now() - it }
         (leavingFor == null || leavingFor < environment.limits.leavingWriteTime) && primaryLostSince() == null
     }
@@ -100,14 +100,14 @@
     /**
      * Returns the point that a replica must have reached for a read of [route]; null if no recent enough one is proved.
      */
-    fun required(route: InteractiveRoute, own: HistoryPoint?): HistoryPoint? {
+    fun requiredPoint(route: InteractiveRoute, own: HistoryPoint?): HistoryPoint? {
         val age = route.maximumStaleness - environment.limits.stalenessMargin
         val proved = proofs.required(environment.now(), age) ?: return null
         return if (route.consistency == ReadConsistency.READ_YOUR_WRITES && own != null && own > proved) own else proved
     }
 
     /** Returns the best pool for a read that needs [required], excluding members in [tried]; null if there is none. */
-    fun reader(required: HistoryPoint, tried: Set<MemberName>): MemberPool? {
+    fun poolForRead(required: HistoryPoint, tried: Set<MemberName>): MemberPool? {
         val now = environment.now()
         val lost = primaryPool.takeIf { primaryLostSince() != null }
         val candidates = pools.values
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
@@ -23,7 +23,7 @@
     private val services: SessionServices,
 ) {
     private val environment = services.environment
-    private val waiting = ArrayDeque<Pair<RequestId, SessionStatement>>()
+    private val queuedStatements = ArrayDeque<Pair<RequestId, SessionStatement>>()
     private var memory = SessionMemory()
     private var transaction: SessionTransaction? = null
     private var lastWritten: HistoryPoint? = null
@@ -35,11 +35,11 @@
         private set
 
     /** Whether no statement is being served or queued and no transaction is open, so that closing loses no work. */
-    public val isIdle: Boolean get() = !isServing && waiting.isEmpty() && transaction == null
+    public val isIdle: Boolean get() = !isServing && queuedStatements.isEmpty() && transaction == null
 
     /** Queues [statement]; statements are served in the order of submission. */
     public fun submit(request: RequestId, statement: SessionStatement) {
-        waiting.addLast(request to statement)
+        queuedStatements.addLast(request to statement)
         if (!isServing) serveNext()
     }
 
@@ -48,7 +48,7 @@
         if (ended) return
         ended = true
         idleTimer?.invoke()
-        waiting.clear()
+        queuedStatements.clear()
         transaction?.abandon()
         transaction = null
         services.onEnd(this)
@@ -67,7 +67,7 @@
     }
 
     private fun serveNext() {
-        val (request, statement) = waiting.removeFirstOrNull() ?: return
+        val (request, statement) = queuedStatements.removeFirstOrNull() ?: return
         isServing = true
         idleTimer?.invoke()
         val open = transaction
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberPool.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberPool.kt
@@ -57,7 +57,7 @@
     private val onReply: (MemberPool, MemberCommand, Duration, MemberReply) -> Unit,
 ) : LinkListener {
     private val queue = AdmissionQueue(slotsOf(member), AdmissionPolicy())
-    private val waiting = HashMap<Ticket, PoolRequest>()
+    private val queuedRequests = HashMap<Ticket, PoolRequest>()
     private val links = ArrayList<PooledLink>()
     private val idle = ArrayDeque<PooledLink>()
     private val linkWaiters = ArrayDeque<LinkWaiter>()
@@ -104,13 +104,13 @@
         missingSince = null
     }
 
-    /** Queues [work] for a slot, or grants or refuses it at once. */
-    fun submit(work: PoolRequest) {
-        if (closed) return work.refused(PoolRefusal.CLOSED)
-        when (val admission = queue.offer(work.item, environment.now())) {
-            is Admission.Granted -> connect(work, admission.ticket)
-            is Admission.Queued -> waiting[admission.ticket] = work
-            is Admission.Refused -> work.refused(PoolRefusal.OVERLOADED)
+    /** Queues [request] for a slot, or grants or refuses it at once. */
+    fun submit(request: PoolRequest) {
+        if (closed) return request.refused(PoolRefusal.CLOSED)
+        when (val admission = queue.offer(request.item, environment.now())) {
+            is Admission.Granted -> connect(request, admission.ticket)
+            is Admission.Queued -> queuedRequests[admission.ticket] = request
+            is Admission.Refused -> request.refused(PoolRefusal.OVERLOADED)
         }
     }
 
@@ -164,8 +164,8 @@
     fun close() {
         if (closed) return
         closed = true
-        val refused = waiting.values.toList()
-        waiting.clear()
+        val refused = queuedRequests.values.toList()
+        queuedRequests.clear()
         refused.forEach { it.refused(PoolRefusal.CLOSED) }
         linkWaiters.toList().also { linkWaiters.clear() }.forEach { it.complete(null) }
         links.toList().filter { !it.isBusy }.forEach { it.close() }
@@ -212,17 +212,17 @@
     private fun slotsOf(member: DiscoveredMember): Int =
         (member.slots * environment.limits.slotShare).roundToInt().coerceAtLeast(1)
 
-    private fun connect(work: PoolRequest, ticket: Ticket) {
+    private fun connect(request: PoolRequest, ticket: Ticket) {
         val slot = PoolSlot(this, ticket, environment.now())
         val link = pollIdle()
-        if (link != null) return work.granted(link, slot)
+        if (link != null) return request.granted(link, slot)
         val waiter = LinkWaiter { found ->
             if (found != null) {
                 slot.connected(environment.now())
-                work.granted(found, slot)
+                request.granted(found, slot)
             } else {
                 slot.release(ran = false, answered = true)
-                work.refused(PoolRefusal.NO_CONNECTION)
+                request.refused(PoolRefusal.NO_CONNECTION)
             }
         }
         linkWaiters.addLast(waiter)
@@ -262,17 +262,17 @@
     }
 
     private fun mayOpen(): Boolean {
-        val most = capacity()
-        val share = (most * environment.limits.connectionShare).toInt().coerceAtLeast(1)
+        val maximum = capacity()
+        val share = (maximum * environment.limits.connectionShare).toInt().coerceAtLeast(1)
         // Until the member has reported its count, assume that other VMs hold all but the one that each VM may have.
-        val elsewhere = connectionsOfOthers ?: most
-        val free = most - environment.limits.connectionReserve - elsewhere - links.size
+        val connectionsOfOtherVms = connectionsOfOthers ?: maximum
+        val free = maximum - environment.limits.connectionReserve - connectionsOfOtherVms - links.size
         return links.size < share && (links.isEmpty() || free > 0) && environment.now() >= nextOpeningAt
     }
 
     private fun apply(changes: QueueChanges) {
-        changes.expired.forEach { waiting.remove(it.ticket)?.refused?.invoke(PoolRefusal.OVERLOADED) }
-        changes.granted.forEach { ticket -> waiting.remove(ticket)?.let { connect(it, ticket) } }
+        changes.expired.forEach { queuedRequests.remove(it.ticket)?.refused?.invoke(PoolRefusal.OVERLOADED) }
+        changes.granted.forEach { ticket -> queuedRequests.remove(ticket)?.let { connect(it, ticket) } }
     }
 
     private class LinkWaiter(private val done: (PooledLink?) -> Unit) {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
@@ -39,8 +39,8 @@
 
     /** Finds the next member for [call]. */
     fun next(call: StatementCall, done: (SearchResult) -> Unit) {
-        val needed = if (replicaAllowed) group.required(call.route, call.lastWritten) else null
-        val pool = needed?.let { group.reader(it, tried) } ?: group.primary()
+        val needed = if (replicaAllowed) group.requiredPoint(call.route, call.lastWritten) else null
+        val pool = needed?.let { group.poolForRead(it, tried) } ?: group.availablePrimary()
         when {
             pool == null -> awaitPrimary(call, done)
             !hasMoreAttempts -> done(SearchResult.Exhausted("rejected by ${tried.joinToString()}"))
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNodeSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/interactive/InteractiveNodeSpec.kt
@@ -62,7 +62,7 @@
         route("current", ReadConsistency.CURRENT),
         route("bounded", ReadConsistency.BOUNDED_STALENESS),
         route("own", ReadConsistency.READ_YOUR_WRITES),
-        route("patient", ReadConsistency.CURRENT, timeout = 4.seconds),
+        route("longTimeout", ReadConsistency.CURRENT, timeout = 4.seconds),
     ).associateBy { it.name }
 
     private fun configuration(number: Long, names: Set<String> = routes.keys) =
@@ -462,7 +462,7 @@
         @Test
         fun `delays a write that has enough time to wait for the new primary`() {
             losePrimary()
-            val caller = Caller("patient")
+            val caller = Caller("longTimeout")
             caller.send("w", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
             loop.advance(1.seconds)
             expectThat(caller.replies).isEmpty()
@@ -484,7 +484,7 @@
         fun `and not replaced in the usual time delays no more writes`() {
             losePrimary()
             loop.advance(4.seconds)
-            val caller = Caller("patient")
+            val caller = Caller("longTimeout")
             caller.send("w", SessionStatement.Run(StatementAccess.WRITE, "WRITE 1 x"))
             loop.advance(1.milliseconds)
             expectThat(caller.replies.single().code).isEqualTo(RejectionCode.BUSY)
