--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
@@ -63,8 +63,8 @@
             if (link == null) {
                 pendingPolls -= pool
                 val now = environment.now()
-                // If all connections that the member allows are in use, a missing connection is not a failure of the
-                // member.
+                // If all connections that the member allows are in use, the missing connection is not a
+                // failure of the member.
                 val openingFor = pool.openingSince?.let { now - it }
                 val unanswered = openingFor != null && openingFor >= environment.limits.reportTimeout
                 if (unanswered) pool.health.recordFailure(now, refused = false)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveLimits.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveLimits.kt
@@ -18,7 +18,8 @@
  * @property connectionReserve connections of each member that are left to VMs that have none.
  * @property connectionShare maximum share of a member's connections that one VM holds.
  * @property maximumConcurrentOpenings connections to a member that one VM opens at a time. Each takes a slot of the
- * member for its handshake, so after a loss of all VMs many openings would keep the slots from the first statements.
+ * member for its handshake, so after a loss of all VMs their openings together would keep the slots from the first
+ * statements.
  * @property maximumIdleConnections connections to a member that are kept open while they are idle.
  * @property idleCloseDelay time after which a surplus idle connection is closed.
  * @property maximumAttempts maximum number of members to which one statement is sent.
