--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyLeaseRenewer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyLeaseRenewer.kt
@@ -54,14 +54,14 @@
      */
     public fun advanceToken(done: (Long?) -> Unit) {
         executor.execute {
-            lease.advanced()?.let(::write)
+            lease.advancedRecord()?.let(::write)
             done(heldToken)
         }
     }
 
     /** Releases the lease, so that another VM can acquire it at once. */
     public fun release() {
-        lease.released()?.let(::write)
+        lease.releasedRecord()?.let(::write)
     }
 
     private fun renewOrObserve() {
@@ -89,7 +89,7 @@
             { failure -> handleWriteFailure(failure) },
             { stored ->
                 version = stored.version
-                lease.written(record, sentAt)
+                lease.recordWrite(record, sentAt)
             },
         )
         updateHeldToken()
@@ -106,7 +106,7 @@
 
     private fun updateHeldToken() {
         val now = clock.elapsed()
-        val value = lease.tokenAt(now)
+        val value = lease.fencingTokenAt(now)
         token = value?.let { HeldToken(it, lease.heldUntil ?: now) }
         if (wasHeld == (value != null)) return
         wasHeld = value != null
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverCoordinator.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FailoverCoordinator.kt
@@ -2,7 +2,7 @@
 
 import dev.kumquatknot.core.databasegroup.FailoverDecision
 import dev.kumquatknot.core.databasegroup.FailoverOrder
-import dev.kumquatknot.core.databasegroup.MemberFacts
+import dev.kumquatknot.core.databasegroup.ObservedMember
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.platform.OrderPromotion
 import dev.kumquatknot.core.platform.PromotionAnswer
@@ -66,7 +66,7 @@
                 environment.schedule(Duration.ZERO) {
                     if (advanced == null || advanced <= lastUsedToken) {
                         groupsBeingOrdered -= group.group
-                        decision.settled()
+                        decision.clearOrder()
                     } else {
                         lastUsedToken = advanced
                         send(group, decision, next, advanced)
@@ -100,7 +100,7 @@
         answer: PromotionAnswer,
     ) {
         groupsBeingOrdered -= group.group
-        if (answer is PromotionAnswer.Refused || answer is PromotionAnswer.Unavailable) decision.settled()
+        if (answer is PromotionAnswer.Refused || answer is PromotionAnswer.Unavailable) decision.clearOrder()
         environment.events.log(
             Event.FAILOVER_ANSWERED,
             "group" to group.group.value,
@@ -109,7 +109,7 @@
         )
     }
 
-    private fun MemberPool.toFacts() = MemberFacts(
+    private fun MemberPool.toFacts() = ObservedMember(
         name = member.name,
         leaving = leavingSince != null,
         answeredAt = health.answeredAt,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPoller.kt
@@ -24,7 +24,7 @@
 
     private fun isPollDue(group: GroupPools, pool: MemberPool, now: Duration, decides: Boolean): Boolean {
         val leads = group.leads(pool)
-        val since = if (leads) group.proofs.latestAskedAt else pool.health.answeredAt
+        val since = if (leads) group.proofs.latestProofRequestedAt else pool.health.answeredAt
         val limit = when {
             !leads -> REPLICA_AGE
             decides -> DECIDER_PROOF_AGE
@@ -50,7 +50,7 @@
 
     private fun GroupPools.isPrimarySuspected(now: Duration): Boolean {
         val primary = primaryPool ?: return true
-        val provedAt = proofs.latestAskedAt
+        val provedAt = proofs.latestProofRequestedAt
         return primary.leavingSince != null ||
             primary.health.failures > 0 ||
             provedAt == null ||
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
@@ -1,7 +1,7 @@
 package dev.kumquatknot.proxy.interactive
 
 import dev.kumquatknot.core.databasegroup.FreshnessProofs
-import dev.kumquatknot.core.databasegroup.PrimaryBelief
+import dev.kumquatknot.core.databasegroup.PrimaryTracker
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -29,7 +29,7 @@
     private val pools = LinkedHashMap<MemberName, MemberPool>()
     private val placement = ReadPlacement()
 
-    val belief = PrimaryBelief()
+    val belief = PrimaryTracker()
     val proofs = FreshnessProofs()
 
     /** All pools, including those of leaving members. */
@@ -91,7 +91,7 @@
      * Time of the last proof of the primary's lead if the primary is lost; null if it is not lost or was never proved.
      */
     fun primaryLostSince(): Duration? {
-        val seenAt = proofs.latestAskedAt ?: return null
+        val seenAt = proofs.latestProofRequestedAt ?: return null
         val pool = primaryPool
         val isSuspected = pool == null || !belief.isProved || pool.health.failures > 0
         return seenAt.takeIf { isSuspected && environment.now() - it > PRIMARY_LOSS_TIMEOUT }
@@ -140,10 +140,10 @@
         }
         if (!reply.isCompleted || point == null || !provesLead(command, reply)) return
         if (belief.prove(name, sentAt)) {
-            proofs.leadChanged(point, sentAt)
+            proofs.recordPrimaryChange(point, sentAt)
             logBelief(Event.PRIMARY_PROVED, pool, sentAt)
         } else if (belief.primary == name) {
-            proofs.note(point, sentAt)
+            proofs.record(point, sentAt)
         }
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
@@ -2,7 +2,7 @@
 
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.MemberName
-import dev.kumquatknot.core.interactive.OutagePatience
+import dev.kumquatknot.core.interactive.FailoverWaitPolicy
 import kotlin.time.Duration
 
 /** Result of a [MemberSearch]. */
@@ -25,7 +25,7 @@
     private val environment: NodeEnvironment,
 ) {
     private val tried = LinkedHashSet<MemberName>()
-    private val outageWait = OutagePatience()
+    private val outageWait = FailoverWaitPolicy()
 
     /** Details of the routing decisions so far. */
     var facts: RoutingDetails = RoutingDetails()
@@ -49,7 +49,7 @@
                     member = pool.member.name,
                     attempts = facts.attempts + 1,
                     required = needed,
-                    proofAge = group.proofs.latestAskedAt?.let { environment.now() - it },
+                    proofAge = group.proofs.latestProofRequestedAt?.let { environment.now() - it },
                 )
                 done(SearchResult.Found(pool, needed))
             }
@@ -62,7 +62,7 @@
         val until = if (lostSince == null) {
             call.waitsForPrimaryUntil
         } else {
-            outageWait.waitsUntil(lostSince, now, call.deadline)
+            outageWait.latestWaitTime(lostSince, now, call.deadline)
         }
         if (until != null && now < until) {
             scheduleRetry { next(call, done) }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
@@ -1,7 +1,7 @@
 package dev.kumquatknot.proxy.interactive
 
 import dev.kumquatknot.core.history.HistoryPoint
-import dev.kumquatknot.core.interactive.ConnectionMemory
+import dev.kumquatknot.core.interactive.ConnectionState
 import dev.kumquatknot.core.interactive.DiscoveredMember
 import dev.kumquatknot.core.interactive.MemberCommand
 import dev.kumquatknot.core.interactive.MemberReply
@@ -39,7 +39,7 @@
     val startedAt: Duration = environment.now()
 
     /** Session values and plans that are set on the member's side of the connection. */
-    var memory: ConnectionMemory = ConnectionMemory()
+    var memory: ConnectionState = ConnectionState()
 
     /** Time at which the connection last became idle. */
     var idleSince: Duration = startedAt
