--- /dev/null
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupPools.kt
@@ -0,0 +1,187 @@
+package dev.kumquatknot.proxy.interactive
+
+import dev.kumquatknot.core.databasegroup.FreshnessProofs
+import dev.kumquatknot.core.databasegroup.PrimaryTracker
+import dev.kumquatknot.core.history.HistoryPoint
+import dev.kumquatknot.core.identity.DatabaseName
+import dev.kumquatknot.core.identity.MemberName
+import dev.kumquatknot.core.interactive.DiscoveredMember
+import dev.kumquatknot.core.interactive.InteractiveRoute
+import dev.kumquatknot.core.interactive.MemberCommand
+import dev.kumquatknot.core.interactive.MemberReply
+import dev.kumquatknot.core.interactive.ReadCandidate
+import dev.kumquatknot.core.interactive.ReadConsistency
+import dev.kumquatknot.core.interactive.ReadPlacement
+import dev.kumquatknot.core.interactive.RejectionCode
+import dev.kumquatknot.core.interactive.StatementAccess
+import dev.kumquatknot.proxy.event.Event
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** Connection pools for the members of one group, with the believed primary and the proofs of replica freshness. */
+internal class GroupPools(
+    val group: DatabaseName,
+    private val environment: NodeEnvironment,
+    private val isRemote: (DiscoveredMember) -> Boolean,
+    private val connections: () -> Int,
+    private val onPrimaryUnknown: (GroupPools) -> Unit,
+) {
+    private val pools = LinkedHashMap<MemberName, MemberPool>()
+    private val placement = ReadPlacement()
+
+    val belief = PrimaryTracker()
+    val proofs = FreshnessProofs()
+
+    /** All pools, including those of leaving members. */
+    val all: Collection<MemberPool> get() = pools.values
+
+    /**
+     * Applies [members] from discovery; members that are no longer listed stay until [InteractiveLimits.removalDelay].
+     */
+    fun updateMembers(members: List<DiscoveredMember>) {
+        val now = environment.now()
+        members.forEach { member ->
+            val known = pools[member.name]
+            if (known != null && known.member.isSameLifeAs(member)) {
+                if (member.leaving && !known.member.leaving) logMember(Event.MEMBER_LEAVING, member)
+                known.updateMember(member)
+            } else {
+                known?.close()
+                pools[member.name] = MemberPool(member, environment, connections, ::recordReply).also { it.maintain() }
+                logMember(Event.MEMBER_DISCOVERED, member)
+            }
+        }
+        val names = members.map { it.name }.toSet()
+        pools.values.filter { it.member.name !in names && it.missingSince == null }.forEach { it.missingSince = now }
+        belief.claim(members.singleOrNull { it.claimsPrimary }?.name)
+    }
+
+    /** Removes members that discovery has not listed for a while and maintains the other pools. */
+    fun maintain() {
+        val now = environment.now()
+        val gone = pools.values.filter { pool ->
+            pool.missingSince?.let { now - it > environment.limits.removalDelay }
+                ?: false
+        }
+        gone.forEach { pool ->
+            pools.remove(pool.member.name)
+            belief.disprove(pool.member.name, now)
+            logMember(Event.MEMBER_GONE, pool.member)
+            pool.close()
+        }
+        pools.values.forEach { it.maintain() }
+    }
+
+    /** Whether [pool] belongs to the believed primary. */
+    fun leads(pool: MemberPool): Boolean = pool.member.name == belief.primary
+
+    /**
+     * The pool of the believed primary if it may get new work; null if the primary is unknown, lost or leaving too
+     * long.
+     */
+    fun availablePrimary(): MemberPool? = primaryPool?.takeIf { pool ->
+        val leavingFor = pool.leavingSince?.let { environment.now() - it }
+        (leavingFor == null || leavingFor < environment.limits.leavingWriteTime) && primaryLostSince() == null
+    }
+
+    /** The pool of the believed primary, whatever its state. */
+    val primaryPool: MemberPool? get() = belief.primary?.let { pools[it] }
+
+    /**
+     * Time of the last proof of the primary's lead if the primary is lost; null if it is not lost or was never proved.
+     */
+    fun primaryLostSince(): Duration? {
+        val seenAt = proofs.latestProofRequestedAt ?: return null
+        val pool = primaryPool
+        val isSuspected = pool == null || !belief.isProved || pool.health.failures > 0
+        return seenAt.takeIf { isSuspected && environment.now() - it > PRIMARY_LOSS_TIMEOUT }
+    }
+
+    /**
+     * Returns the point that a replica must have reached for a read of [route]; null if no recent enough one is proved.
+     */
+    fun requiredPoint(route: InteractiveRoute, own: HistoryPoint?): HistoryPoint? {
+        val age = route.maximumStaleness - environment.limits.stalenessMargin
+        val proved = proofs.required(environment.now(), age) ?: return null
+        return if (route.consistency == ReadConsistency.READ_YOUR_WRITES && own != null && own > proved) own else proved
+    }
+
+    /** Returns the best pool for a read that needs [required], excluding members in [tried]; null if there is none. */
+    fun poolForRead(required: HistoryPoint, tried: Set<MemberName>): MemberPool? {
+        val now = environment.now()
+        val lost = primaryPool.takeIf { primaryLostSince() != null }
+        val candidates = pools.values
+            .filter { it.leavingSince == null && it.health.isUsable && it !== lost && it.member.name !in tried }
+            .map { candidate(it, now) }
+        return placement.choose(candidates, required)?.let { pools[it.name] }
+    }
+
+    private fun candidate(pool: MemberPool, now: Duration) = ReadCandidate(
+        name = pool.member.name,
+        primary = leads(pool),
+        point = pool.health.point,
+        pointAge = now - pool.health.pointAt,
+        expectedWait = pool.expectedWait(),
+        distance = pool.distance,
+        remote = isRemote(pool.member),
+    )
+
+    private fun recordReply(pool: MemberPool, command: MemberCommand, sentAt: Duration, reply: MemberReply) {
+        val name = pool.member.name
+        val point = reply.point
+        reply.report?.let { report ->
+            pool.health.recordReport(report, environment.now())
+            pool.updateConnectionCount(report.connections)
+            if (!report.primary) disprove(pool, sentAt)
+        }
+        if (reply.rejection == RejectionCode.READ_ONLY) {
+            disprove(pool, sentAt)
+            return
+        }
+        if (!reply.isCompleted || point == null || !provesLead(command, reply)) return
+        if (belief.prove(name, sentAt)) {
+            proofs.recordPrimaryChange(point, sentAt)
+            logBelief(Event.PRIMARY_PROVED, pool, sentAt)
+        } else if (belief.primary == name) {
+            proofs.record(point, sentAt)
+        }
+    }
+
+    private fun disprove(pool: MemberPool, sentAt: Duration) {
+        if (!belief.disprove(pool.member.name, sentAt)) return
+        logBelief(Event.PRIMARY_DISPROVED, pool, sentAt)
+        onPrimaryUnknown(this)
+    }
+
+    private fun provesLead(command: MemberCommand, reply: MemberReply): Boolean = when (command) {
+        is MemberCommand.Begin -> !command.readOnly
+        is MemberCommand.Run -> command.access == StatementAccess.WRITE
+        is MemberCommand.Execute -> command.access == StatementAccess.WRITE
+        is MemberCommand.Report -> reply.report?.primary ?: false
+        else -> false
+    }
+
+    private fun DiscoveredMember.isSameLifeAs(other: DiscoveredMember) =
+        startedAtMillis == other.startedAtMillis && address == other.address
+
+    private fun logMember(event: Event, member: DiscoveredMember) = environment.events.log(
+        event,
+        "group" to group.value,
+        "member" to member.name.value,
+        "address" to member.address,
+        "dataCentre" to member.dataCentre.value,
+    )
+
+    private fun logBelief(event: Event, pool: MemberPool, sentAt: Duration) = environment.events.log(
+        event,
+        "group" to group.value,
+        "member" to pool.member.name.value,
+        "point" to pool.health.point?.toString(),
+        "evidenceAgeMs" to (environment.now() - sentAt).inWholeMilliseconds,
+    )
+
+    private companion object {
+        /** Time without a response of the primary after which it counts as lost; by then two polls went unanswered. */
+        val PRIMARY_LOSS_TIMEOUT = 800.milliseconds
+    }
+}
