--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
@@ -7,8 +7,8 @@
 import dev.kumquatknot.core.identity.Region
 import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.RequestNeeds
 import dev.kumquatknot.core.routing.Route
 import dev.kumquatknot.core.routing.RouteStep
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
@@ -12,10 +12,10 @@
 import dev.kumquatknot.core.databasegroup.GroupTiming
 import dev.kumquatknot.core.databasegroup.GroupView
 import dev.kumquatknot.core.databasegroup.LossReason
-import dev.kumquatknot.core.databasegroup.MemberAnswer
-import dev.kumquatknot.core.databasegroup.PrimaryVerdict
 import dev.kumquatknot.core.databasegroup.MajorityPrimary
+import dev.kumquatknot.core.databasegroup.MemberAnswer
 import dev.kumquatknot.core.databasegroup.MemberContactReport
+import dev.kumquatknot.core.databasegroup.PrimaryVerdict
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -165,7 +165,10 @@
      * [deadline] of the monotonic clock. A read that starts at [since] or later at the returned primary in the returned
      * term sees every write acknowledged before [since]. Returns null if no majority was observed in time.
      */
-    public fun awaitStanding(since: Duration, deadline: Duration): MajorityPrimary? = freshness.awaitMajorityPrimary(since, deadline)
+    public fun awaitStanding(
+        since: Duration,
+        deadline: Duration,
+    ): MajorityPrimary? = freshness.awaitMajorityPrimary(since, deadline)
 
     /** Updates confirmations and freshness from the reply of [member] to a batch that was sent at [sentAt]. */
     public fun observeReply(member: MemberName, sentAt: Duration, reply: BatchReply) {
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
@@ -4,8 +4,8 @@
 import dev.kumquatknot.core.identity.RequestId
 import dev.kumquatknot.core.interactive.InteractiveRoute
 import dev.kumquatknot.core.interactive.RejectionCode
-import dev.kumquatknot.core.interactive.SessionState
 import dev.kumquatknot.core.interactive.SessionReply
+import dev.kumquatknot.core.interactive.SessionState
 import dev.kumquatknot.core.interactive.SessionStatement
 import dev.kumquatknot.core.interactive.StatementAccess
 import dev.kumquatknot.core.interactive.StatementPlan
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/ObjectWatcher.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/ObjectWatcher.kt
@@ -1,11 +1,11 @@
 package dev.kumquatknot.proxy.interactive
 
 import arrow.core.Either
-import dev.kumquatknot.core.platform.WatchResult
 import dev.kumquatknot.core.platform.ObjectChange
-import dev.kumquatknot.core.platform.WatchableObjects
 import dev.kumquatknot.core.platform.StoreFailure
 import dev.kumquatknot.core.platform.StoredObject
+import dev.kumquatknot.core.platform.WatchResult
+import dev.kumquatknot.core.platform.WatchableObjects
 import dev.kumquatknot.proxy.event.Event
 import dev.kumquatknot.proxy.event.EventLog
 import kotlin.time.Duration
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/measure/ModelGroup.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/measure/ModelGroup.kt
@@ -7,8 +7,8 @@
 import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.LagEstimator
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.ProvenPoint
 import org.apache.commons.rng.UniformRandomProvider
 import kotlin.time.Duration
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/benchmark/DecisionBenchmark.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/benchmark/DecisionBenchmark.kt
@@ -13,8 +13,8 @@
 import dev.kumquatknot.core.identity.TeamName
 import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.ProvenPoint
 import dev.kumquatknot.core.routing.RequestNeeds
 import dev.kumquatknot.core.routing.Route
