--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestStorySpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestTimelineSpec.kt
@@ -8,7 +8,7 @@
 import strikt.assertions.isNotNull
 import strikt.assertions.isNull
 
-class RequestStorySpec {
+class RequestTimelineSpec {
     private fun line(source: String, second: Int, event: String, vararg fields: Pair<String, String>): LogLine {
         val content = fields.joinToString("") { ",\"${it.first}\":\"${it.second}\"" }
         val time = "2026-05-01T10:00:%02dZ".format(second)
@@ -20,7 +20,7 @@
         line("vm-1", 20, "STATEMENT_REJECTED", "request" to "r1", "group" to "g", "code" to "IN_DOUBT")
 
     private fun eventsOf(vararg logs: LogLine) =
-        RequestStory.of("r1", logs.toList())?.lines?.map { "${it.role} ${it.line.source} ${it.line.event}" }
+        RequestTimeline.of("r1", logs.toList())?.lines?.map { "${it.role} ${it.line.source} ${it.line.event}" }
 
     @Nested
     inner class `a line of a log` {
@@ -42,7 +42,7 @@
     inner class `the story of a request` {
         @Test
         fun `is none where no log names it`() {
-            expectThat(RequestStory.of("r2", listOf(rejected))).isNull()
+            expectThat(RequestTimeline.of("r2", listOf(rejected))).isNull()
         }
 
         @Test
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
@@ -71,7 +71,7 @@
         @Test
         fun `count as within target up to the target itself`() {
             listOf(299, 300, 301).forEach {
-                recorder.completed(request("book-costume", "k$it"), reply, it.milliseconds)
+                recorder.recordCompletion(request("book-costume", "k$it"), reply, it.milliseconds)
             }
             expectThat(figures("book-costume")) {
                 get { completed }.isEqualTo(3)
@@ -81,7 +81,7 @@
 
         @Test
         fun `count by the role that served them`() {
-            recorder.completed(request("look-up-booking", work = Work.Read(emptyList())), reply, 5.milliseconds)
+            recorder.recordCompletion(request("look-up-booking", work = Work.Read(emptyList())), reply, 5.milliseconds)
             expectThat(figures("look-up-booking").replicaReads).isEqualTo(1)
         }
     }
@@ -92,29 +92,29 @@
 
         @Test
         fun `stays open until a repeat tells its outcome`() {
-            recorder.failed(request("charge-deposit", "k1"), unknown)
+            recorder.recordFailure(request("charge-deposit", "k1"), unknown)
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(1)
-            recorder.completed(request("charge-deposit", "k1"), reply.copy(repeated = true), 5.milliseconds)
+            recorder.recordCompletion(request("charge-deposit", "k1"), reply.copy(repeated = true), 5.milliseconds)
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(0)
         }
 
         @Test
         fun `stays open when another key is repeated`() {
-            recorder.failed(request("charge-deposit", "k1"), unknown)
-            recorder.completed(request("charge-deposit", "k2"), reply.copy(repeated = true), 5.milliseconds)
+            recorder.recordFailure(request("charge-deposit", "k1"), unknown)
+            recorder.recordCompletion(request("charge-deposit", "k2"), reply.copy(repeated = true), 5.milliseconds)
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(1)
         }
 
         @Test
         fun `closes when it is told that it did not run`() {
-            recorder.failed(request("charge-deposit", "k1"), unknown)
-            recorder.settledAsNotRun(request("charge-deposit", "k1", Work.Resolve))
+            recorder.recordFailure(request("charge-deposit", "k1"), unknown)
+            recorder.recordResolvedAsNotRun(request("charge-deposit", "k1", Work.Resolve))
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(0)
         }
 
         @Test
         fun `without a key stays open`() {
-            recorder.failed(request("book-costume"), unknown)
+            recorder.recordFailure(request("book-costume"), unknown)
             expectThat(figures("book-costume").openUnknown).isEqualTo(1)
         }
     }
@@ -123,8 +123,8 @@
     inner class `refused requests` {
         @Test
         fun `count by reason, callers' own faults apart`() {
-            recorder.failed(request("book-costume", "k"), failure(FailureReason.OVERLOADED, Effect.NOT_RUN))
-            recorder.failed(request("book-costume", "k"), failure(FailureReason.STATEMENT_FAILED, Effect.NOT_RUN))
+            recorder.recordFailure(request("book-costume", "k"), failure(FailureReason.OVERLOADED, Effect.NOT_RUN))
+            recorder.recordFailure(request("book-costume", "k"), failure(FailureReason.STATEMENT_FAILED, Effect.NOT_RUN))
             expectThat(figures("book-costume")) {
                 get { refusals }.isEqualTo(mapOf(FailureReason.OVERLOADED to 1L))
                 get { callerFaults }.isEqualTo(1)
@@ -137,7 +137,7 @@
     inner class `after midnight` {
         @Test
         fun `yesterday is kept apart and the day before forgotten`() {
-            recorder.completed(request("book-costume", "k"), reply, 5.milliseconds)
+            recorder.recordCompletion(request("book-costume", "k"), reply, 5.milliseconds)
             time = time.plusSeconds(86_400)
             expectThat(recorder.summaries().map { it.date }).containsExactly("2027-12-04", "2027-12-05")
             time = time.plusSeconds(86_400)
