--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/ConfigurationApplier.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/ConfigurationApplier.kt
@@ -17,11 +17,11 @@
  * What applying a configuration would change, or has changed.
  *
  * @property number number of the configuration in force afterwards.
- * @property changes empty where the configuration in force has the same content already.
+ * @property changes empty if the configuration in force already has the same content.
  */
 public data class ConfigurationUpdate(val number: Long, val changes: List<ConfigurationChange>)
 
-/** How an update is meant. */
+/** Preconditions of an update. */
 public data class ApplyOptions(
     /** Number that the configuration in force must have; null for any. */
     val expectedNumber: Long? = null,
@@ -29,51 +29,51 @@
     val confirmed: Boolean = false,
 )
 
-/** Why a configuration was not applied. Each failure carries the peer, the platform, and the step at which it arose. */
+/** Why a configuration was not applied. [detail] starts with the step that failed and the peer of that step. */
 public sealed interface ApplyFailure {
     /** Text for operators. */
     public val detail: String
 
-    /** Another operator's configuration came first; nothing of this one was applied. */
+    /** Another operator updated the configuration concurrently; nothing of this update was applied. */
     public data class Conflict(val number: Long, val otherChanges: List<ConfigurationChange>) : ApplyFailure {
         override val detail: String
-            get() = "store, platform: configuration $number of another operator came first and nothing was applied; " +
-                "it made these changes: ${otherChanges.joinToString("; ") { it.text }.ifEmpty { "none" }}. " +
+            get() = "store, platform: another operator applied configuration $number first and nothing was applied; " +
+                "that update made these changes: ${otherChanges.joinToString("; ") { it.text }.ifEmpty { "none" }}. " +
                 "Merge its answers and apply again"
     }
 
-    /** The configuration in force is not the one that the operator had in mind. */
+    /** The number of the configuration in force is not [ApplyOptions.expectedNumber]. */
     public data class UnexpectedNumber(val expected: Long, val actual: Long) : ApplyFailure {
         override val detail: String
             get() = "check, platform: configuration $actual is in force, not $expected; nothing was applied"
     }
 
-    /** Dangerous changes need a confirmation. */
+    /** The update contains dangerous changes and [ApplyOptions.confirmed] is not set. */
     public data class Unconfirmed(val dangerous: List<ConfigurationChange>) : ApplyFailure {
         override val detail: String
             get() = "check, local: nothing was applied, since these changes need --confirm: " +
                 dangerous.joinToString("; ") { "${it.text} (${it.danger})" }
     }
 
-    /** The configuration is larger than the platform's object API takes. */
+    /** The configuration exceeds the size limit of the platform's object API. */
     public data class TooLarge(val bytes: Int) : ApplyFailure {
         override val detail: String
-            get() = "check, local: the configuration has $bytes bytes and the platform takes " +
+            get() = "check, local: the configuration has $bytes bytes and the limit of the platform is " +
                 "${ConfigurationCodec.MAXIMUM_BYTES}; nothing was applied"
     }
 
-    /** The object in force can't be read as a configuration. */
+    /** The stored object can't be decoded as a configuration. */
     public data class Unreadable(val reason: String) : ApplyFailure {
         override val detail: String
             get() = "read, platform: ${FleetConfiguration.STORE_KEY}: $reason; nothing was applied"
     }
 
-    /** The platform did not take the update; nothing was applied. */
+    /** The platform could not be read or refused each attempt to write; nothing was applied. */
     public data class Unavailable(val reason: String) : ApplyFailure {
         override val detail: String get() = "store, platform: $reason; nothing was applied"
     }
 
-    /** The platform answered neither the update nor the questions after it. */
+    /** An attempt got no answer and no later one settled whether the update took effect. */
     public data class Unknown(val number: Long) : ApplyFailure {
         override val detail: String
             get() = "store, platform: no answer, so configuration $number may or may not be in force; " +
@@ -82,10 +82,10 @@
 }
 
 /**
- * Puts a configuration into the platform's object API by conditional update.
+ * Writes a configuration to the platform's object API by conditional update.
  *
- * The number grows by one with each accepted update. An update whose answer was lost is resolved by reading back, and
- * repeated with the same expected version while the object has not changed.
+ * The number grows by one with each accepted update. An update whose answer was lost is retried with the same expected
+ * version; if it did take effect, the retry conflicts, and the content of the stored object shows that it did.
  *
  * @param pause waits between two attempts.
  */
@@ -95,7 +95,7 @@
 ) {
     /** Returns what applying [desired] would change. */
     public fun preview(desired: FleetConfiguration): Either<ApplyFailure, ConfigurationUpdate> =
-        readBase().map { updateFrom(it, desired) }
+        readBase().map { planUpdate(it, desired) }
 
     /** Applies [desired]; its number is ignored. */
     public fun apply(
@@ -103,12 +103,12 @@
         options: ApplyOptions = ApplyOptions(),
     ): Either<ApplyFailure, ConfigurationUpdate> =
         readBase().flatMap { base ->
-            val update = updateFrom(base, desired)
-            check(base, update, desired, options)?.left()
+            val update = planUpdate(base, desired)
+            validate(base, update, desired, options)?.left()
                 ?: if (update.changes.isEmpty()) update.right() else write(base, update, desired)
         }
 
-    private fun check(
+    private fun validate(
         base: Base,
         update: ConfigurationUpdate,
         desired: FleetConfiguration,
@@ -134,8 +134,8 @@
     ): Either<ApplyFailure, ConfigurationUpdate> {
         val numbered = desired.copy(number = update.number)
         var unanswered = false
-        repeat(ATTEMPTS) { attempt ->
-            if (attempt > 0) pause(RETRY_PAUSE)
+        repeat(MAXIMUM_ATTEMPTS) { attempt ->
+            if (attempt > 0) pause(RETRY_DELAY)
             val failure = store.write(FleetConfiguration.STORE_KEY, ConfigurationCodec.encode(numbered), base.version)
                 .fold({ it }, { return update.right() })
             when (failure) {
@@ -144,17 +144,17 @@
                 is StoreFailure.NoAnswer -> unanswered = true
             }
         }
-        return giveUp(update, unanswered)
+        return writeFailure(update, unanswered)
     }
 
-    private fun giveUp(update: ConfigurationUpdate, unanswered: Boolean): Either<ApplyFailure, Nothing> =
+    private fun writeFailure(update: ConfigurationUpdate, unanswered: Boolean): Either<ApplyFailure, Nothing> =
         if (unanswered) {
             ApplyFailure.Unknown(update.number).left()
         } else {
-            ApplyFailure.Unavailable("the platform refused $ATTEMPTS attempts").left()
+            ApplyFailure.Unavailable("the platform refused $MAXIMUM_ATTEMPTS attempts").left()
         }
 
-    /** Tells after a conflict whether the object in force is this update, taken at an attempt whose answer was lost. */
+    /** Checks after a conflict whether the stored object is this update, written by an attempt without an answer. */
     private fun resolve(
         base: Base,
         numbered: FleetConfiguration,
@@ -162,21 +162,21 @@
         current: StoredObject?,
     ): Either<ApplyFailure, ConfigurationUpdate> =
         decode(current).flatMap { inForce ->
-            if (inForce.configuration.hasContentOf(numbered)) {
+            if (inForce.configuration.hasSameContentAs(numbered)) {
                 update.copy(number = inForce.configuration.number).right()
             } else {
-                val others = ConfigurationDifference.between(base.configuration, inForce.configuration)
-                ApplyFailure.Conflict(inForce.configuration.number, others).left()
+                val theirChanges = ConfigurationDifference.between(base.configuration, inForce.configuration)
+                ApplyFailure.Conflict(inForce.configuration.number, theirChanges).left()
             }
         }
 
     private fun readBase(): Either<ApplyFailure, Base> {
-        repeat(ATTEMPTS) { attempt ->
-            if (attempt > 0) pause(RETRY_PAUSE)
+        repeat(MAXIMUM_ATTEMPTS) { attempt ->
+            if (attempt > 0) pause(RETRY_DELAY)
             val read = store.read(FleetConfiguration.STORE_KEY)
             if (read.isRight()) return decode(read.getOrElse { null })
         }
-        return ApplyFailure.Unavailable("the platform answered none of $ATTEMPTS reads").left()
+        return ApplyFailure.Unavailable("the platform answered none of $MAXIMUM_ATTEMPTS reads").left()
     }
 
     private fun decode(current: StoredObject?): Either<ApplyFailure, Base> {
@@ -186,19 +186,19 @@
             .map { Base(it, current.version) }
     }
 
-    private fun updateFrom(base: Base, desired: FleetConfiguration): ConfigurationUpdate {
+    private fun planUpdate(base: Base, desired: FleetConfiguration): ConfigurationUpdate {
         val before = base.configuration
-        if (before.hasContentOf(desired)) return ConfigurationUpdate(before.number, emptyList())
+        if (before.hasSameContentAs(desired)) return ConfigurationUpdate(before.number, emptyList())
         return ConfigurationUpdate(before.number + 1, ConfigurationDifference.between(before, desired))
     }
 
-    private fun FleetConfiguration.hasContentOf(other: FleetConfiguration): Boolean =
+    private fun FleetConfiguration.hasSameContentAs(other: FleetConfiguration): Boolean =
         copy(number = other.number) == other
 
     private class Base(val configuration: FleetConfiguration, val version: ObjectVersion)
 
     private companion object {
-        const val ATTEMPTS = 5
-        val RETRY_PAUSE = 500.milliseconds
+        const val MAXIMUM_ATTEMPTS = 5
+        val RETRY_DELAY = 500.milliseconds
     }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/ConfigurationCodec.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/ConfigurationCodec.kt
@@ -8,36 +8,36 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** Text form of the configuration: JSON with fields in a fixed order, so that equal configurations have equal text. */
+/** JSON encoding of the configuration. Fields have a fixed order, so that equal configurations have equal text. */
 @OptIn(ExperimentalSerializationApi::class)
 public object ConfigurationCodec {
     /** Greatest size of an object in the platform's object API, in bytes. */
     public const val MAXIMUM_BYTES: Int = 1_000_000
 
-    private val compact = Json {
+    private val compactJson = Json {
         encodeDefaults = true
         ignoreUnknownKeys = true
     }
-    private val readable = Json(compact) {
+    private val readableJson = Json(compactJson) {
         prettyPrint = true
         prettyPrintIndent = "  "
     }
 
-    /** Returns the form that is kept in the object API. */
+    /** Returns the compact form that is stored in the object API. */
     public fun encode(configuration: FleetConfiguration): String =
-        compact.encodeToString(FleetConfiguration.serializer(), configuration)
+        compactJson.encodeToString(FleetConfiguration.serializer(), configuration)
 
-    /** Returns the form for people and version control, with a line end at its end. */
+    /** Returns the indented form for people and version control; it ends with a line break. */
     public fun encodeReadable(configuration: FleetConfiguration): String =
-        readable.encodeToString(FleetConfiguration.serializer(), configuration) + "\n"
+        readableJson.encodeToString(FleetConfiguration.serializer(), configuration) + "\n"
 
-    /** Reads either form; the left value says what is wrong. Fields of later versions are ignored. */
+    /** Decodes either form; the left value is the error. Unknown fields, as of later versions, are ignored. */
     public fun decode(text: String): Either<String, FleetConfiguration> =
         try {
-            compact.decodeFromString(FleetConfiguration.serializer(), text).right()
+            compactJson.decodeFromString(FleetConfiguration.serializer(), text).right()
         } catch (error: SerializationException) {
-            "this is no configuration: ${error.message.orEmpty().lineSequence().first()}".left()
+            "not a valid configuration: ${error.message.orEmpty().lineSequence().first()}".left()
         } catch (error: IllegalArgumentException) {
-            "this is no configuration: ${error.message}".left()
+            "not a valid configuration: ${error.message}".left()
         }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/SessionKeyStore.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/configuration/SessionKeyStore.kt
@@ -19,30 +19,36 @@
  *
  * @property number grows by one with each rotation.
  * @property current signs new tokens; 32 random bytes in Base64.
- * @property previous still proves tokens that were signed before the last rotation; null before the first.
+ * @property previous still verifies tokens that were signed before the last rotation; null before the first rotation.
  */
 @Serializable
 public data class SessionKeys(val number: Long, val current: String, val previous: String? = null) {
     override fun toString(): String = "SessionKeys(number=$number)"
 }
 
-/** Why the session keys were not changed or read. */
+/**
+ * Why the session keys could not be read or changed.
+ *
+ * @property effectKnown false if a write may have taken effect although it got no answer.
+ */
 public data class SessionKeyFailure(val detail: String, val effectKnown: Boolean = true)
 
-/** Keeps the session keys in the platform's object API. A key that is there is never overwritten, only rotated. */
+/** Stores the session keys in the platform's object API. Existing keys are never overwritten, only rotated. */
 public class SessionKeyStore(
     private val store: ObjectStore,
     private val randomBytes: (Int) -> ByteArray = { size -> ByteArray(size).also(SecureRandom()::nextBytes) },
 ) {
-    /** Returns the keys in force; null where none were created yet. */
+    /** Returns the keys in force; null if none were created yet. */
     public fun read(): Either<SessionKeyFailure, SessionKeys?> =
         store.read(STORE_KEY).mapLeft { it.toKeyFailure() }.flatMap { it?.let(::decode) ?: null.right() }
 
-    /** Returns the keys in force and creates the first where there are none. */
+    /** Returns the keys in force and creates the first ones if there are none. */
     public fun ensure(): Either<SessionKeyFailure, SessionKeys> =
-        read().flatMap { it?.right() ?: write(SessionKeys(1, randomKey()), ObjectVersion.ABSENT, acceptOthers = true) }
+        read().flatMap {
+            it?.right() ?: write(SessionKeys(1, randomKey()), ObjectVersion.ABSENT, acceptConcurrentKeys = true)
+        }
 
-    /** Makes a new key the current one and the current one the previous. */
+    /** Replaces the current key by a new one and keeps it as the previous key; the key before that is dropped. */
     public fun rotate(): Either<SessionKeyFailure, SessionKeys> =
         store.read(STORE_KEY).mapLeft { it.toKeyFailure() }.flatMap { found ->
             if (found == null) {
@@ -50,7 +56,7 @@
             } else {
                 decode(found).flatMap { keys ->
                     val next = SessionKeys(keys.number + 1, randomKey(), keys.current)
-                    write(next, found.version, acceptOthers = false)
+                    write(next, found.version, acceptConcurrentKeys = false)
                 }
             }
         }
@@ -58,28 +64,31 @@
     private fun write(
         keys: SessionKeys,
         expected: ObjectVersion,
-        acceptOthers: Boolean,
+        acceptConcurrentKeys: Boolean,
     ): Either<SessionKeyFailure, SessionKeys> =
         store.write(STORE_KEY, json.encodeToString(SessionKeys.serializer(), keys), expected).fold(
-            { failure -> resolve(keys, failure, acceptOthers) },
+            { failure -> resolve(keys, failure, acceptConcurrentKeys) },
             { keys.right() },
         )
 
     private fun resolve(
         keys: SessionKeys,
         failure: StoreFailure,
-        acceptOthers: Boolean,
+        acceptConcurrentKeys: Boolean,
     ): Either<SessionKeyFailure, SessionKeys> {
         if (failure is StoreFailure.Refused) return failure.toKeyFailure().left()
         return read().mapLeft { SessionKeyFailure(it.detail, effectKnown = false) }.flatMap { found ->
             when {
-                found == keys || found != null && acceptOthers -> found.right()
+                found == keys || found != null && acceptConcurrentKeys -> found.right()
                 failure is StoreFailure.Conflict ->
                     SessionKeyFailure(
-                        "store, platform: another operator rotated the keys first; nothing changed",
+                        "store, platform: another operator rotated the keys first; nothing was changed",
                     ).left()
 
-                else -> SessionKeyFailure("store, platform: no answer; ask again", effectKnown = false).left()
+                else -> SessionKeyFailure(
+                    "store, platform: no answer, so the keys may or may not have changed; try again",
+                    effectKnown = false,
+                ).left()
             }
         }
     }
@@ -88,9 +97,9 @@
         try {
             json.decodeFromString(SessionKeys.serializer(), found.value).right()
         } catch (_: SerializationException) {
-            SessionKeyFailure("read, platform: $STORE_KEY holds no session keys").left()
+            SessionKeyFailure("read, platform: $STORE_KEY can't be decoded as session keys").left()
         } catch (_: IllegalArgumentException) {
-            SessionKeyFailure("read, platform: $STORE_KEY holds no session keys").left()
+            SessionKeyFailure("read, platform: $STORE_KEY can't be decoded as session keys").left()
         }
 
     private fun randomKey(): String = Base64.getEncoder().encodeToString(randomBytes(KEY_BYTES))
@@ -103,7 +112,7 @@
         }
 
     public companion object {
-        /** Key of the session keys in the platform's object API. */
+        /** Name of the object that holds the session keys in the platform's object API. */
         public const val STORE_KEY: String = "keys/session"
 
         private const val KEY_BYTES = 32
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/ObjectReader.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/ObjectReader.kt
@@ -7,13 +7,13 @@
 import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
 
-/** What is wrong with a value, and what to write instead. */
+/** Result of a failed parse: what is wrong with a value, and what to write instead. */
 internal data class ValueFault(val fault: String, val remedy: String)
 
-/** Turns a JSON value into a typed one. */
+/** Parses and validates a JSON value. */
 internal typealias ValueParser<T> = (JsonElement) -> Either<ValueFault, T>
 
-/** Collects the problems of several documents. */
+/** Collects the problems of several documents, so that all of them are reported together. */
 internal class ProblemCollector {
     private val collected = mutableListOf<Problem>()
 
@@ -25,8 +25,8 @@
 }
 
 /**
- * Reads the fields of one JSON object and collects a [Problem] for each field that is missing, wrong or unknown. A
- * read returns null after it has collected a problem.
+ * Reads the fields of one JSON object and collects a [Problem] for each field that is missing, invalid or unknown. A
+ * read of a value returns null after it has collected a problem; a read of a list leaves invalid elements out.
  */
 internal class ObjectReader(
     val file: String,
@@ -34,25 +34,25 @@
     private val json: JsonObject,
     private val collector: ProblemCollector,
 ) {
-    private val known = mutableSetOf<String>()
+    private val knownFields = mutableSetOf<String>()
 
-    /** Reads a field that must be there; [example] goes into the remedy where it is not. */
+    /** Reads a mandatory field; [example] goes into the remedy if it is missing. */
     fun <T : Any> required(name: String, example: String, parse: ValueParser<T>): T? {
-        val value = find(name)
+        val value = findField(name)
         if (value == null) {
             report(name, null, "the field is missing", "add \"$name\": $example")
             return null
         }
-        return parsed(name, value, parse)
+        return parseField(name, value, parse)
     }
 
-    /** Reads a field that may be left out, in which case it has the value [default]. */
+    /** Reads an optional field; returns [default] if it is missing. */
     fun <T> optional(name: String, default: T, parse: ValueParser<T & Any>): T? {
-        val value = find(name) ?: return default
-        return parsed(name, value, parse)
+        val value = findField(name) ?: return default
+        return parseField(name, value, parse)
     }
 
-    /** Reads a list of objects that must be there and hold at least one. */
+    /** Reads a mandatory list of at least one object. */
     fun objects(name: String, example: String): List<ObjectReader> =
         elements(name, example).mapNotNull { (index, element) ->
             val field = "$name[$index]"
@@ -62,17 +62,17 @@
             (element as? JsonObject)?.let { ObjectReader(file, "$path.$field", it, collector) }
         }
 
-    /** Reads a list of values that must be there and hold at least one. */
+    /** Reads a mandatory list of at least one value. */
     fun <T : Any> values(name: String, example: String, parse: ValueParser<T>): List<T> =
-        elements(name, example).mapNotNull { (index, element) -> parsed("$name[$index]", element, parse) }
+        elements(name, example).mapNotNull { (index, element) -> parseField("$name[$index]", element, parse) }
 
-    /** Reads a list of values that may be left out, in which case it is empty. */
+    /** Reads an optional list of values; returns an empty list if it is missing. */
     fun <T : Any> optionalValues(name: String, example: String, parse: ValueParser<T>): List<T> =
-        if (find(name) == null) emptyList() else values(name, example, parse)
+        if (findField(name) == null) emptyList() else values(name, example, parse)
 
-    /** Reads an object that may be left out. */
+    /** Reads an optional nested object. */
     fun child(name: String): ObjectReader? {
-        val value = find(name) ?: return null
+        val value = findField(name) ?: return null
         if (value !is JsonObject) {
             report(name, value, "the field is not an object", "write an object, from { to }")
             return null
@@ -80,37 +80,39 @@
         return ObjectReader(file, "$path.$name", value, collector)
     }
 
-    /** Reports each field that no read has asked for. Called after the last read. */
-    fun rejectUnknown() {
-        json.keys.filter { it !in known }.forEach { name ->
-            val closest = known.minByOrNull {
-                distance(it, name)
-            }?.takeIf { distance(it, name) <= MAXIMUM_TYPING_ERRORS }
+    /** Reports each field that no earlier call has read. Must be called after the last read. */
+    fun reportUnknownFields() {
+        json.keys.filter { it !in knownFields }.forEach { name ->
+            val closest = knownFields.minByOrNull {
+                editDistance(it, name)
+            }?.takeIf { editDistance(it, name) <= MAXIMUM_EDIT_DISTANCE }
             val remedy =
-                closest?.let { "write \"$it\"" } ?: "remove it; known fields are ${known.sorted().joinToString()}"
+                closest?.let { "write \"$it\"" } ?: "remove it; known fields are ${knownFields.sorted().joinToString()}"
             report(name, json[name], "the field is unknown", remedy)
         }
     }
 
     /** Reports a problem of the field [name]. */
     fun report(name: String, value: JsonElement?, fault: String, remedy: String) {
-        val text = value?.toString()?.let { if (it.length > MAXIMUM_VALUE) it.take(MAXIMUM_VALUE) + "…" else it }
+        val text = value?.toString()?.let {
+            if (it.length > MAXIMUM_VALUE_LENGTH) it.take(MAXIMUM_VALUE_LENGTH) + "…" else it
+        }
         collector.add(Problem(file, "$path.$name", text, fault, remedy))
     }
 
-    private fun find(name: String): JsonElement? {
-        known += name
+    private fun findField(name: String): JsonElement? {
+        knownFields += name
         return json[name]?.takeUnless { it is JsonNull }
     }
 
-    private fun <T : Any> parsed(name: String, value: JsonElement, parse: ValueParser<T>): T? =
+    private fun <T : Any> parseField(name: String, value: JsonElement, parse: ValueParser<T>): T? =
         parse(value).getOrElse { fault ->
             report(name, value, fault.fault, fault.remedy)
             null
         }
 
     private fun elements(name: String, example: String): List<IndexedValue<JsonElement>> {
-        val value = find(name)
+        val value = findField(name)
         val array = value as? JsonArray
         when {
             value == null -> report(name, null, "the field is missing", "add \"$name\": $example")
@@ -121,11 +123,11 @@
     }
 
     private companion object {
-        const val MAXIMUM_TYPING_ERRORS = 2
-        const val MAXIMUM_VALUE = 60
+        const val MAXIMUM_EDIT_DISTANCE = 2
+        const val MAXIMUM_VALUE_LENGTH = 60
 
-        /** Levenshtein distance of two names, ignoring case. */
-        fun distance(first: String, second: String): Int {
+        /** Returns the Levenshtein distance of two names, ignoring case. */
+        fun editDistance(first: String, second: String): Int {
             var previous = List(second.length + 1) { it }
             first.forEachIndexed { row, character ->
                 val current = mutableListOf(row + 1)
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/Problem.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/Problem.kt
@@ -1,11 +1,11 @@
 package dev.kumquatknot.operations.document
 
 /**
- * One fault in a document that a person wrote.
+ * One error in an input document that a person wrote.
  *
- * @property file name of the file, as the person gave it.
+ * @property file name of the file as given on input.
  * @property field JSON path of the field, such as `$.kinds[2].rank`; `$` is the whole file.
- * @property value the value as written, shortened; null where there is none.
+ * @property value the value as written, shortened; null if there is none.
  * @property fault what is wrong.
  * @property remedy what to write instead.
  */
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/SourceDocument.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/SourceDocument.kt
@@ -11,12 +11,12 @@
 import java.nio.charset.CharacterCodingException
 import java.nio.charset.CodingErrorAction
 
-/** A file as it was read: its [name] for messages and its [bytes]. */
+/** Raw content of an input file; [name] identifies it in problems. */
 public class SourceDocument(public val name: String, private val bytes: ByteArray) {
     /** Creates a document from [text]. */
     public constructor(name: String, text: String) : this(name, text.toByteArray())
 
-    /** Decodes the document as one JSON object, or tells what keeps it from being one. */
+    /** Decodes the document as one JSON object; the left value says why it can't be decoded. */
     internal fun decode(): Either<Problem, JsonObject> {
         if (bytes.size > MAXIMUM_BYTES) {
             return problem("the file has ${bytes.size} bytes", "keep it under $MAXIMUM_BYTES bytes").left()
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/ValueParsers.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/document/ValueParsers.kt
@@ -15,11 +15,11 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Parsers of the values that answers and settings are made of. */
+/** Parsers of the values in answers and settings. */
 internal object ValueParsers {
     private val namePattern = Regex("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
     private val hashPattern = Regex("[0-9a-f]{64}")
-    private val variablePattern = Regex("[A-Za-z_][A-Za-z0-9_]*")
+    private val environmentVariablePattern = Regex("[A-Za-z_][A-Za-z0-9_]*")
     private val durationPattern = Regex("""(\d{1,9}) ?([A-Za-z]*)""")
     private val percentPattern = Regex("""(\d{1,9}) ?%""")
     private val ipv4Pattern = Regex("""(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3})""")
@@ -54,11 +54,15 @@
         )
 
     /** A name of an environment variable. */
-    val variable: ValueParser<String> =
-        matching(variablePattern, "this is no name of an environment variable", "use letters, digits and underscores")
+    val environmentVariable: ValueParser<String> =
+        matching(
+            environmentVariablePattern,
+            "this is no name of an environment variable",
+            "use letters, digits and underscores",
+        )
 
-    /** A truth value. */
-    val truth: ValueParser<Boolean> = { element ->
+    /** A JSON boolean. */
+    val boolean: ValueParser<Boolean> = { element ->
         (element as? JsonPrimitive)?.takeUnless { it.isString }?.booleanOrNull?.right()
             ?: fault("the value is neither true nor false", "write true or false, without quotation marks")
     }
@@ -66,13 +70,13 @@
     /** A duration above zero with its unit, such as `30 s`. */
     val duration: ValueParser<Duration> = { element -> string(element, DURATION_REMEDY).flatMap(::parseDuration) }
 
-    /** A share from 0 % to 100 %, in whole per cent. */
+    /** A percentage from 0 % to 100 %, in whole per cent. */
     val percent: ValueParser<Int> = { element -> string(element, PERCENT_REMEDY).flatMap(::parsePercent) }
 
-    /** Address of a peer: an IP number and a port from 1. */
+    /** Address of a peer: an IP address and a port of at least 1. */
     val peerAddress: ValueParser<String> = { element -> string(element).flatMap { parseAddress(it, 1) } }
 
-    /** Address to listen on: an IP number and a port, 0 for one that the system chooses. */
+    /** Address to listen on: an IP address and a port; port 0 lets the system choose one. */
     val listenAddress: ValueParser<String> = { element -> string(element).flatMap { parseAddress(it, 0) } }
 
     private const val DURATION_REMEDY = "write a whole number and one of ms, s, min, h, d, such as \"30 s\""
@@ -89,7 +93,7 @@
         }
     }
 
-    /** One of the words of [choices]. */
+    /** One of the keys of [choices]; [what] names the kind of value in problems. */
     fun <T : Any> choice(what: String, choices: Map<String, T>): ValueParser<T> = { element ->
         string(element).flatMap { word ->
             val remedy = "use one of ${choices.keys.joinToString { "\"$it\"" }}"
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/explain/LogLine.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/explain/LogLine.kt
@@ -9,10 +9,10 @@
 import java.time.Instant
 
 /**
- * One event of a node's log.
+ * One structured event in the log of a node.
  *
- * @property source name of the log that it comes from; with one log a VM, the VM.
- * @property fields what the event says beyond its name, as text, in the order of the line.
+ * @property source name of the log that holds the line; with one log for each VM, this identifies the VM.
+ * @property fields the fields of the event as text, without the metadata of the logger, in the order of the line.
  */
 public data class LogLine(
     val source: String,
@@ -20,14 +20,14 @@
     val event: String,
     val fields: Map<String, String>,
 ) {
-    /** Id of the request that the event is about; null where it is about none. */
+    /** Id of the request that the event concerns; null if it concerns none. */
     val request: String? get() = fields["request"]
 
-    /** The database group that the event is about; null where it is about none. */
+    /** Database group that the event concerns; null if it concerns none. */
     val group: String? get() = fields["group"]
 
     public companion object {
-        private val ownFields =
+        private val metadataFields =
             setOf(
                 "@timestamp",
                 "@version",
@@ -41,8 +41,8 @@
             )
 
         /**
-         * Parses one line of [source]. Whatever collected the log may have put text before the JSON object. Returns
-         * null where the line is no event, such as a message of a library or a line that was cut.
+         * Parses one line of [source]. Text before the JSON object, such as the prefix of a log collector, is skipped.
+         * Returns null if the line is no event, such as a message of a library or a truncated line.
          */
         public fun parse(source: String, line: String): LogLine? {
             val start = line.indexOf('{')
@@ -52,20 +52,20 @@
             } catch (_: SerializationException) {
                 null
             }
-            val event = json?.text("eventName") ?: return null
-            val at = json.text("@timestamp")?.let(::instant) ?: return null
-            val fields = json.keys.filter { it !in ownFields }.mapNotNull { name ->
-                json.text(name)?.let { name to it }
+            val event = json?.stringField("eventName") ?: return null
+            val at = json.stringField("@timestamp")?.let(::parseInstant) ?: return null
+            val fields = json.keys.filter { it !in metadataFields }.mapNotNull { name ->
+                json.stringField(name)?.let { name to it }
             }
             return LogLine(source, at, event, fields.toMap())
         }
 
-        private fun instant(text: String): Instant? = try {
+        private fun parseInstant(text: String): Instant? = try {
             Instant.parse(text)
         } catch (_: DateTimeException) {
             null
         }
 
-        private fun JsonObject.text(name: String) = (this[name] as? JsonPrimitive)?.contentOrNull
+        private fun JsonObject.stringField(name: String) = (this[name] as? JsonPrimitive)?.contentOrNull
     }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/AnswerDefaults.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/AnswerDefaults.kt
@@ -9,10 +9,10 @@
 import dev.kumquatknot.operations.document.ValueParsers
 import kotlin.time.Duration
 
-/** Time limits of a kind of work whose team gives none. */
+/** Default time limits of a kind of work. */
 internal data class TimeLimits(val target: Duration, val deadline: Duration)
 
-/** What an answer that was left out counts as. The values stand in the resource `defaults.json`, with their reasons. */
+/** Default values of optional answers. The resource `defaults.json` holds the values and their reasons. */
 internal data class AnswerDefaults(
     val slots: Int,
     val connections: Int,
@@ -23,10 +23,10 @@
     companion object {
         private const val RESOURCE = "defaults.json"
 
-        /** The defaults that the program ships with. */
-        val shipped: AnswerDefaults by lazy(::load)
+        /** The defaults in the resource `defaults.json`. */
+        val builtIn: AnswerDefaults by lazy(::load)
 
-        /** The file of the shipped defaults, for people to read. */
+        /** Text of the resource `defaults.json`. */
         val text: String by lazy {
             val resource = checkNotNull(AnswerDefaults::class.java.getResourceAsStream(RESOURCE)) { RESOURCE }
             resource.use { it.readBytes().decodeToString() }
@@ -39,14 +39,14 @@
             val database = root.section("database")
             val kind = root.section("kind")
             val defaults = AnswerDefaults(
-                slots = database.needed("slots", ValueParsers.integer(AnswerLimits.SLOTS)),
-                connections = database.needed("connections", ValueParsers.integer(AnswerLimits.CONNECTIONS)),
-                purpose = kind.needed("purpose", ValueParsers.choice("purpose", AnswerWords.purposes)),
-                sharePercent = kind.needed("share", ValueParsers.percent),
-                limits = AnswerWords.ranks.entries.associate { (word, rank) ->
+                slots = database.requiredDefault("slots", ValueParsers.integer(AnswerLimits.SLOTS)),
+                connections = database.requiredDefault("connections", ValueParsers.integer(AnswerLimits.CONNECTIONS)),
+                purpose = kind.requiredDefault("purpose", ValueParsers.choice("purpose", AnswerChoices.purposes)),
+                sharePercent = kind.requiredDefault("share", ValueParsers.percent),
+                limits = AnswerChoices.ranks.entries.associate { (word, rank) ->
                     val section = root.section(word)
-                    val target = section.needed("target", ValueParsers.duration)
-                    rank to TimeLimits(target, section.needed("deadline", ValueParsers.duration))
+                    val target = section.requiredDefault("target", ValueParsers.duration)
+                    rank to TimeLimits(target, section.requiredDefault("deadline", ValueParsers.duration))
                 },
             )
             check(collector.problems.isEmpty()) { collector.problems.joinToString("\n") }
@@ -55,7 +55,7 @@
 
         private fun ObjectReader.section(name: String): ObjectReader = checkNotNull(child(name)) { "$RESOURCE: $name" }
 
-        private fun <T : Any> ObjectReader.needed(
+        private fun <T : Any> ObjectReader.requiredDefault(
             name: String,
             parse: ValueParser<T>,
         ): T = checkNotNull(required(name, "a value", parse)) { "$RESOURCE: $path.$name" }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/AnswerFolder.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/AnswerFolder.kt
@@ -17,16 +17,16 @@
 import kotlin.io.path.readBytes
 import kotlin.io.path.relativeTo
 
-/** A folder with answers: `fleet.json` and one file for each team in `teams/`. */
+/** A folder of answers: `fleet.json` and one JSON file for each team in `teams/`. */
 public class AnswerFolder(private val folder: Path, private val questionnaire: Questionnaire = Questionnaire()) {
-    /** Reads and checks all answers. */
+    /** Reads and validates all answers. */
     public fun read(): Either<NonEmptyList<Problem>, Answers> {
         if (!folder.isDirectory()) {
-            return missing(folder, "the folder does not exist", "give the folder that holds $FLEET_FILE")
+            return failure(folder, "the folder does not exist", "give the folder that holds $FLEET_FILE")
         }
         val teams = folder.resolve(TEAMS_FOLDER)
         if (!teams.isDirectory()) {
-            return missing(teams, "the folder does not exist", "create it and put one file for each team into it")
+            return failure(teams, "the folder does not exist", "create it and put one file for each team into it")
         }
         return load(folder.resolve(FLEET_FILE)).flatMap { fleet ->
             loadTeams(teams).flatMap { questionnaire.check(fleet, it) }
@@ -36,7 +36,7 @@
     private fun loadTeams(teams: Path): Either<NonEmptyList<Problem>, List<SourceDocument>> {
         val files = teams.listDirectoryEntries().filter { it.extension == "json" }.sorted()
         if (files.isEmpty()) {
-            return missing(teams, "the folder holds no team", "put one JSON file for each team into it")
+            return failure(teams, "the folder holds no team", "put one JSON file for each team into it")
         }
         val loaded = files.map(::load)
         return loaded.firstNotNullOfOrNull { it.leftOrNull() }?.left() ?: loaded.mapNotNull { it.getOrNull() }.right()
@@ -47,13 +47,13 @@
             if (Files.exists(path)) {
                 SourceDocument(path.relativeTo(folder).toString(), path.readBytes()).right()
             } else {
-                missing(path, "the file does not exist", "create it; examples/ shows how")
+                failure(path, "the file does not exist", "create it; examples/ shows how")
             }
         } catch (error: IOException) {
-            missing(path, "the file can't be read: ${error.message}", "make it readable")
+            failure(path, "the file can't be read: ${error.message}", "make it readable")
         }
 
-    private fun missing(path: Path, fault: String, remedy: String): Either<NonEmptyList<Problem>, Nothing> =
+    private fun failure(path: Path, fault: String, remedy: String): Either<NonEmptyList<Problem>, Nothing> =
         nonEmptyListOf(Problem(path.toString(), "$", null, fault, remedy)).left()
 
     private companion object {
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/Answers.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/Answers.kt
@@ -15,7 +15,7 @@
 /**
  * Answers of one team.
  *
- * @property callers who calls, in the team's own words.
+ * @property callers free-text description of the callers.
  * @property keyHash SHA-256 of the team's key, in lower-case hexadecimal digits.
  */
 public data class TeamAnswers(
@@ -27,5 +27,5 @@
     val kinds: List<KindConfiguration>,
 )
 
-/** All answers, complete, checked and with the defaults filled in. */
+/** All answers after validation, with the defaults filled in. */
 public data class Answers(val fleet: FleetAnswers, val teams: List<TeamAnswers>)
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/ConfigurationGenerator.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/ConfigurationGenerator.kt
@@ -6,8 +6,8 @@
 /**
  * Generates the configuration of the fleet from the answers.
  *
- * Lists are ordered by name, so that the order of answers and files makes no difference. The number is 0 until the
- * configuration is applied.
+ * Lists are ordered by name, so that the result does not depend on the order of answers and files. The number is 0
+ * until the configuration is applied.
  */
 public object ConfigurationGenerator {
     /** Returns the configuration for [answers]. */
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/Questionnaire.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/Questionnaire.kt
@@ -12,34 +12,33 @@
 import dev.kumquatknot.operations.document.SourceDocument
 
 /**
- * The questionnaire: checks the documents with the answers and fills in the defaults.
+ * Validates the answers of the fleet and of all teams and fills in the defaults.
  *
- * Reports every [Problem] of all documents at once, ordered by document and place. Answers with a problem lead to no
- * configuration.
+ * Reports the problems of all documents together; no configuration is generated from answers with a [Problem].
  */
 public class Questionnaire private constructor(private val defaults: AnswerDefaults) {
-    /** Creates a questionnaire with the shipped defaults. */
-    public constructor() : this(AnswerDefaults.shipped)
+    /** Creates a questionnaire with the built-in defaults. */
+    public constructor() : this(AnswerDefaults.builtIn)
 
-    /** Checks the answers about the fleet in [fleet] and those of each team in [teams]. */
+    /** Validates the answers about the fleet in [fleet] and those of each team in [teams]. */
     public fun check(fleet: SourceDocument, teams: List<SourceDocument>): Either<NonEmptyList<Problem>, Answers> {
         val collector = ProblemCollector()
-        val fleetAnswers = open(fleet, collector)?.let { FleetAnswersReader(defaults).read(it) }
+        val fleetAnswers = readerOf(fleet, collector)?.let { FleetAnswersReader(defaults).read(it) }
         val teamAnswers = teams.sortedBy { it.name }.mapNotNull { document ->
-            open(document, collector)?.let { reader ->
+            readerOf(document, collector)?.let { reader ->
                 TeamAnswersReader(defaults).read(reader)?.let { Located(reader, it) }
             }
         }
-        rejectRepeated(teamAnswers, "name", "team name") { it.name.value }
-        rejectRepeated(teamAnswers, "keyHash", "key") { it.keyHash }
+        reportDuplicates(teamAnswers, "name", "team name") { it.name.value }
+        reportDuplicates(teamAnswers, "keyHash", "key") { it.keyHash }
         val knownDatabases = fleetAnswers?.databases?.map { it.name }
-        if (knownDatabases != null) rejectUnknownDatabases(teamAnswers, knownDatabases)
-        rejectExcessShares(teamAnswers)
+        if (knownDatabases != null) reportUnknownDatabases(teamAnswers, knownDatabases)
+        reportExcessShares(teamAnswers)
         val problems = collector.problems.toNonEmptyListOrNull()
         return problems?.left() ?: Answers(checkNotNull(fleetAnswers), teamAnswers.map { it.value }).right()
     }
 
-    private fun open(document: SourceDocument, collector: ProblemCollector): ObjectReader? =
+    private fun readerOf(document: SourceDocument, collector: ProblemCollector): ObjectReader? =
         document.decode().fold(
             { problem ->
                 collector.add(problem)
@@ -48,7 +47,7 @@
             { ObjectReader(document.name, "$", it, collector) },
         )
 
-    private fun rejectUnknownDatabases(teams: List<Located<TeamAnswers>>, known: List<DatabaseName>) {
+    private fun reportUnknownDatabases(teams: List<Located<TeamAnswers>>, known: List<DatabaseName>) {
         teams.forEach { team ->
             team.value.databases.filter { it !in known }.forEach { database ->
                 val remedy = "use one of ${known.joinToString()}, or add it to fleet.json"
@@ -57,15 +56,15 @@
         }
     }
 
-    private fun rejectExcessShares(teams: List<Located<TeamAnswers>>) {
+    private fun reportExcessShares(teams: List<Located<TeamAnswers>>) {
         teams.flatMap { it.value.databases }.distinct().sorted().forEach { database ->
-            val sharing = teams.filter { database in it.value.databases }
-            val shares = sharing.associateWith { team -> team.value.kinds.sumOf { it.floorPercent } }
+            val teamsWithAccess = teams.filter { database in it.value.databases }
+            val shares = teamsWithAccess.associateWith { team -> team.value.kinds.sumOf { it.floorPercent } }
             val sum = shares.values.sum()
             if (sum > AnswerLimits.FULL_SHARE_PERCENT) {
                 val largest = shares.maxBy { it.value }.key
-                val parts = shares.entries.joinToString { "${it.key.value.name} ${it.value} %" }
-                val fault = "the shares of all kinds of work on database \"$database\" add up to $sum %: $parts"
+                val sharesByTeam = shares.entries.joinToString { "${it.key.value.name} ${it.value} %" }
+                val fault = "the shares of all kinds of work on database \"$database\" add up to $sum %: $sharesByTeam"
                 largest.reader.report("kinds", null, fault, "lower shares until they add up to at most 100 %")
             }
         }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/TeamAnswersReader.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/questionnaire/TeamAnswersReader.kt
@@ -13,7 +13,7 @@
 import dev.kumquatknot.operations.document.ValueParsers
 import kotlinx.serialization.json.JsonPrimitive
 
-/** Reads the answers of one team. */
+/** Reads and validates the answers of one team. */
 internal class TeamAnswersReader(private val defaults: AnswerDefaults) {
     fun read(root: ObjectReader): TeamAnswers? {
         val name = root.required("name", "\"counter\"", ValueParsers.name)
@@ -22,8 +22,8 @@
         val databases = root.values("databases", "[\"inventory-1\"]", ValueParsers.name)
         val kinds = root.objects("kinds", "[{\"name\": \"book-costume\", ...}]")
             .mapNotNull { reader -> readKind(reader)?.let { Located(reader, it) } }
-        root.rejectUnknown()
-        rejectRepeated(kinds, "name", "kind of work") { it.name.value }
+        root.reportUnknownFields()
+        reportDuplicates(kinds, "name", "kind of work") { it.name.value }
         return nullable {
             TeamAnswers(
                 root.file,
@@ -38,34 +38,34 @@
 
     private fun readKind(reader: ObjectReader): KindConfiguration? {
         val name = reader.required("name", "\"book-costume\"", ValueParsers.name)
-        val rank = reader.required("rank", "\"urgent\"", ValueParsers.choice("rank", AnswerWords.ranks))
-        val access = reader.required("access", "\"read\"", ValueParsers.choice("access", AnswerWords.accesses))
+        val rank = reader.required("rank", "\"urgent\"", ValueParsers.choice("rank", AnswerChoices.ranks))
+        val access = reader.required("access", "\"read\"", ValueParsers.choice("access", AnswerChoices.accesses))
         val purpose =
-            reader.optional("purpose", defaults.purpose, ValueParsers.choice("purpose", AnswerWords.purposes))
-        val repeatable = reader.optional("mayBeRepeated", access == Access.READ, ValueParsers.truth)
+            reader.optional("purpose", defaults.purpose, ValueParsers.choice("purpose", AnswerChoices.purposes))
+        val mayBeRepeated = reader.optional("mayBeRepeated", access == Access.READ, ValueParsers.boolean)
         val limits = defaults.limits.getValue(rank ?: Rank.STANDARD)
         val target = reader.optional("target", limits.target, ValueParsers.duration)
         val deadline = reader.optional("deadline", limits.deadline, ValueParsers.duration)
-        val age = reader.optional("age", null, ValueParsers.duration)
+        val maximumAge = reader.optional("age", null, ValueParsers.duration)
         val share = reader.optional("share", defaults.sharePercent, ValueParsers.percent)
-        reader.rejectUnknown()
+        reader.reportUnknownFields()
         val kind = nullable {
             KindConfiguration(
                 KindName(name.bind()),
                 rank.bind(),
                 access.bind(),
                 purpose.bind(),
-                if (repeatable.bind()) Repetition.IDEMPOTENT else Repetition.AT_MOST_ONCE,
+                if (mayBeRepeated.bind()) Repetition.IDEMPOTENT else Repetition.AT_MOST_ONCE,
                 target.bind().inWholeMilliseconds,
                 deadline.bind().inWholeMilliseconds,
-                age?.inWholeMilliseconds,
+                maximumAge?.inWholeMilliseconds,
                 share.bind(),
             )
         }
-        return kind?.also { rejectContradictions(reader, it) }
+        return kind?.also { reportContradictions(reader, it) }
     }
 
-    private fun rejectContradictions(reader: ObjectReader, kind: KindConfiguration) {
+    private fun reportContradictions(reader: ObjectReader, kind: KindConfiguration) {
         if (kind.targetMillis > kind.deadlineMillis) {
             val fault = "the target of ${kind.targetMillis} ms is above the deadline of ${kind.deadlineMillis} ms"
             reader.report("target", null, fault, "lower the target or raise the deadline")
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/settings/NodeSettings.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/settings/NodeSettings.kt
@@ -3,7 +3,7 @@
 import dev.kumquatknot.core.identity.DataCentre
 import dev.kumquatknot.core.identity.VmName
 
-/** How a node reaches the members of the database groups. */
+/** Protocol by which a node connects to the members of the database groups. */
 public sealed interface DatabaseAdapter {
     /** The stand-in database of this project. */
     public data object StandIn : DatabaseAdapter
@@ -12,21 +12,21 @@
      * PostgreSQL over JDBC.
      *
      * @property user role that the node logs in as.
-     * @property passwordVariable environment variable that holds the password; the password itself stands in no file.
+     * @property passwordVariable environment variable that holds the password, so that no file contains it.
      */
     public data class PostgreSql(val user: String, val passwordVariable: String) : DatabaseAdapter
 }
 
 /**
- * Settings of one node of the proxy. Addresses are an IP number and a port.
+ * Settings of one node of the proxy. Each address consists of an IP address and a port.
  *
- * @property vm name of the VM; a replaced VM comes back under a new one.
+ * @property vm name of the VM; the replacement of a VM gets a new name.
  * @property callerAddress address at which callers send requests; port 0 lets the system choose.
- * @property operatorAddress address of the operators' pages.
+ * @property operatorAddress address at which the node serves the operators' pages.
  * @property nodeAddress address at which the node serves other nodes.
  * @property platformAddress address of the platform's object API.
  * @property workers threads that serve requests.
- * @property seedAddresses node addresses of other VMs, asked while the platform does not answer.
+ * @property seedAddresses node addresses of other VMs, queried while the platform does not answer.
  */
 public data class NodeSettings(
     val vm: VmName,
@@ -40,7 +40,7 @@
     val seedAddresses: List<String> = emptyList(),
 ) {
     public companion object {
-        /** Number of workers of a node whose settings name none. */
+        /** Number of workers if the settings do not give one. */
         public const val DEFAULT_WORKERS: Int = 256
     }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/settings/NodeSettingsReader.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/settings/NodeSettingsReader.kt
@@ -20,7 +20,7 @@
 import java.nio.file.Path
 import kotlin.io.path.readBytes
 
-/** Reads the JSON settings of one node and reports every problem at once. */
+/** Reads the JSON settings of one node and reports all problems together. */
 public object NodeSettingsReader {
     /** Reads the settings in the file [path]. */
     public fun read(path: Path): Either<NonEmptyList<Problem>, NodeSettings> =
@@ -44,57 +44,65 @@
 
     private fun readRoot(root: ObjectReader): NodeSettings? {
         val vm = root.required("vm", "\"entry-1\"", ValueParsers.name)
-        val centre = root.required("dataCentre", "\"mendoza-a\"", ValueParsers.name)
-        val caller = root.required("callerAddress", "\"10.0.0.7:8080\"", ValueParsers.listenAddress)
-        val operator = root.required("operatorAddress", "\"10.0.0.7:8081\"", ValueParsers.listenAddress)
-        val node = root.required("nodeAddress", "\"10.0.0.7:8082\"", ValueParsers.listenAddress)
-        val platform = root.required("platformAddress", "\"10.0.0.2:9000\"", ValueParsers.peerAddress)
-        val adapter = root.required("databaseAdapter", "\"postgresql\"", ValueParsers.choice("adapter", adapters))
-        val postgres = readPostgreSql(root, adapter)
+        val dataCentre = root.required("dataCentre", "\"mendoza-a\"", ValueParsers.name)
+        val callerAddress = root.required("callerAddress", "\"10.0.0.7:8080\"", ValueParsers.listenAddress)
+        val operatorAddress = root.required("operatorAddress", "\"10.0.0.7:8081\"", ValueParsers.listenAddress)
+        val nodeAddress = root.required("nodeAddress", "\"10.0.0.7:8082\"", ValueParsers.listenAddress)
+        val platformAddress = root.required("platformAddress", "\"10.0.0.2:9000\"", ValueParsers.peerAddress)
+        val databaseAdapter = root.required(
+            "databaseAdapter",
+            "\"postgresql\"",
+            ValueParsers.choice("adapter", adapters),
+        )
+        val postgreSql = readPostgreSql(root, databaseAdapter)
         val workers = root.optional("workers", NodeSettings.DEFAULT_WORKERS, ValueParsers.integer(workerRange))
         val seeds = root.optionalValues("seedAddresses", "[\"10.0.0.8:8082\"]", ValueParsers.peerAddress)
-        root.rejectUnknown()
-        rejectSharedAddresses(
+        root.reportUnknownFields()
+        reportDuplicateAddresses(
             root,
             listOf(
-                "callerAddress" to caller,
-                "operatorAddress" to operator,
-                "nodeAddress" to node,
+                "callerAddress" to callerAddress,
+                "operatorAddress" to operatorAddress,
+                "nodeAddress" to nodeAddress,
             ),
         )
         return nullable {
             NodeSettings(
                 VmName(vm.bind()),
-                DataCentre(centre.bind()),
-                caller.bind(),
-                operator.bind(),
-                node.bind(),
-                platform.bind(),
-                if (adapter.bind() == AdapterName.STANDIN) DatabaseAdapter.StandIn else postgres.bind(),
+                DataCentre(dataCentre.bind()),
+                callerAddress.bind(),
+                operatorAddress.bind(),
+                nodeAddress.bind(),
+                platformAddress.bind(),
+                if (databaseAdapter.bind() == AdapterName.STANDIN) DatabaseAdapter.StandIn else postgreSql.bind(),
                 workers.bind(),
                 seeds,
             )
         }
     }
 
-    private fun readPostgreSql(root: ObjectReader, adapter: AdapterName?): DatabaseAdapter.PostgreSql? {
+    private fun readPostgreSql(root: ObjectReader, databaseAdapter: AdapterName?): DatabaseAdapter.PostgreSql? {
         val section = root.child("postgresql")
-        if (adapter == AdapterName.POSTGRESQL && section == null) {
+        if (databaseAdapter == AdapterName.POSTGRESQL && section == null) {
             val example = """add "postgresql": {"user": "kumquatknot", "passwordVariable": "DATABASE_PASSWORD"}"""
             root.report("postgresql", null, "the field is missing", example)
         }
-        if (adapter == AdapterName.STANDIN && section != null) {
+        if (databaseAdapter == AdapterName.STANDIN && section != null) {
             root.report("postgresql", null, "the adapter \"standin\" has no such settings", "remove the field")
         }
         if (section == null) return null
         val user = section.required("user", "\"kumquatknot\"", ValueParsers.text)
-        val variable = section.required("passwordVariable", "\"DATABASE_PASSWORD\"", ValueParsers.variable)
-        section.rejectUnknown()
-        return nullable { DatabaseAdapter.PostgreSql(user.bind(), variable.bind()) }
+        val passwordVariable = section.required(
+            "passwordVariable",
+            "\"DATABASE_PASSWORD\"",
+            ValueParsers.environmentVariable,
+        )
+        section.reportUnknownFields()
+        return nullable { DatabaseAdapter.PostgreSql(user.bind(), passwordVariable.bind()) }
     }
 
-    private fun rejectSharedAddresses(root: ObjectReader, addresses: List<Pair<String, String?>>) {
-        val fixed = addresses.filter { (_, address) -> address != null && !address.endsWith(CHOSEN_BY_SYSTEM) }
+    private fun reportDuplicateAddresses(root: ObjectReader, addresses: List<Pair<String, String?>>) {
+        val fixed = addresses.filter { (_, address) -> address != null && !address.endsWith(EPHEMERAL_PORT_SUFFIX) }
         fixed.groupBy { it.second }.values.filter { it.size > 1 }.forEach { same ->
             val (first, second) = same
             val fault = "the address is already used by ${first.first}"
@@ -106,5 +114,5 @@
 
     private val adapters = AdapterName.entries.associateBy { it.name.lowercase() }
     private val workerRange = 1..4096
-    private const val CHOSEN_BY_SYSTEM = ":0"
+    private const val EPHEMERAL_PORT_SUFFIX = ":0"
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayJudge.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayEvaluator.kt
@@ -7,19 +7,20 @@
 import dev.kumquatknot.core.outcome.FailureReason
 
 /**
- * Judges a day: a pure function from the figures and the answers to the report.
+ * Evaluates a day: a pure function from the figures and the configuration to the report.
  *
- * A broken promise makes the day bad. Otherwise an outcome that nobody knows, or figures that are missing, make it
- * unsure.
+ * The verdict is BAD if a promise is broken; otherwise UNSURE if the outcome of a request is unknown or figures are
+ * missing.
  */
-public object DayJudge {
-    /** Returns the report on the day of [context]. */
-    public fun judge(context: DayContext): DayReport {
-        val kinds = context.totals.kinds.map { judged(context.configuration, it) }
+public object DayEvaluator {
+    /** Returns the report on the day that [context] describes. */
+    public fun evaluate(context: DayContext): DayReport {
+        val kinds = context.totals.kinds.map { withConfiguration(context.configuration, it) }
         val coverage = Coverage.of(context)
-        val promises = listOf(bookings(kinds), money(kinds), readers(kinds), urgent(kinds))
-        val worked = kinds.any { it.figures.served > 0 }
-        val verdict = overall(promises, coverage, worked)
+        val promises =
+            listOf(evaluateBookings(kinds), evaluatePayments(kinds), evaluateReads(kinds), evaluateUrgentWork(kinds))
+        val hasServedRequests = kinds.any { it.figures.served > 0 }
+        val verdict = overallVerdict(promises, coverage, hasServedRequests)
         return DayReport(
             context.date,
             context.now,
@@ -34,10 +35,10 @@
         )
     }
 
-    private fun judged(configuration: FleetConfiguration, entry: KindEntry): JudgedKind =
-        JudgedKind(entry.identity.team, configuration.team(entry.identity.team)?.kind(entry.identity.kind), entry)
+    private fun withConfiguration(configuration: FleetConfiguration, entry: KindEntry): EvaluatedKind =
+        EvaluatedKind(entry.identity.team, configuration.team(entry.identity.team)?.kind(entry.identity.kind), entry)
 
-    private fun bookings(kinds: List<JudgedKind>): PromiseReport {
+    private fun evaluateBookings(kinds: List<EvaluatedKind>): PromiseReport {
         val figures = kinds.filter { it.isWriteFor(Purpose.BOOKING, Purpose.LOAN) }.map { it.figures }
         val made = figures.sumOf { it.completed - it.repeated }
         val checks = figures.fold(CheckFigures()) { sum, next -> sum + next.checks }
@@ -46,20 +47,20 @@
         val several = "bookings and loans"
         val readBack = when (checks.kept) {
             0L -> "each was confirmed by two of three members; none has been read back"
-            else -> "${Wording.count(checks.kept)} were read back and found"
+            else -> "${FigureFormat.count(checks.kept)} were read back and found"
         }
-        return promise(
+        return promiseReport(
             "Bookings kept",
             made,
             open,
-            broken = "${Wording.count(checks.lost)} acknowledged $several are lost.".takeIf { checks.lost > 0 },
-            unsure = "Of ${Wording.count(open, work, several)} nobody knows yet whether they were made.",
+            broken = "${FigureFormat.count(checks.lost)} acknowledged $several are lost.".takeIf { checks.lost > 0 },
+            unsure = "Of ${FigureFormat.count(open, work, several)} nobody knows yet whether they were made.",
             none = "No booking or loan was made.",
-            good = "All ${Wording.count(made, work, several)} that were acknowledged are kept: $readBack.",
+            good = "All ${FigureFormat.count(made, work, several)} that were acknowledged are kept: $readBack.",
         )
     }
 
-    private fun money(kinds: List<JudgedKind>): PromiseReport {
+    private fun evaluatePayments(kinds: List<EvaluatedKind>): PromiseReport {
         val figures = kinds.filter { it.isWriteFor(Purpose.PAYMENT) }.map { it.figures }
         val taken = figures.sumOf { it.completed - it.repeated }
         val repeated = figures.sumOf { it.repeated }
@@ -68,72 +69,82 @@
         val open = figures.sumOf { it.openUnknown }
         val repeats = when (repeated) {
             0L -> "no caller repeated one"
-            else -> "${Wording.count(repeated, "repeat")} took nothing again"
+            else -> "${FigureFormat.count(repeated, "repeat")} took nothing again"
         }
         val broken = when {
-            doubled > 0 -> "${Wording.count(doubled, "payment was", "payments were")} taken twice."
-            lost > 0 -> "${Wording.count(lost, "acknowledged payment is", "acknowledged payments are")} lost."
+            doubled > 0 -> "${FigureFormat.count(doubled, "payment was", "payments were")} taken twice."
+            lost > 0 -> "${FigureFormat.count(lost, "acknowledged payment is", "acknowledged payments are")} lost."
             else -> null
         }
-        return promise(
+        return promiseReport(
             "Money taken once",
             taken,
             open,
             broken,
-            unsure = "Of ${Wording.count(open, "payment")} nobody knows yet whether the money was taken.",
+            unsure = "Of ${FigureFormat.count(open, "payment")} nobody knows yet whether the money was taken.",
             none = "No payment was taken.",
-            good = "All ${Wording.count(taken, "payment")} were taken once, each together with its record; $repeats.",
+            good = "All ${FigureFormat.count(
+                taken,
+                "payment",
+            )} were taken once, each together with its record; $repeats.",
         )
     }
 
-    private fun readers(kinds: List<JudgedKind>): PromiseReport {
-        val figures = kinds.filter { it.answers?.access == Access.READ }.map { it.figures }
+    private fun evaluateReads(kinds: List<EvaluatedKind>): PromiseReport {
+        val figures = kinds.filter { it.configuration?.access == Access.READ }.map { it.figures }
         val reads = figures.sumOf { it.completed }
         val replicas = figures.sumOf { it.replicaReads }
         val stale = figures.sumOf { it.checks.stale }
         val refused = figures.sumOf { it.refusals[FailureReason.NOT_FRESH_ENOUGH] ?: 0 }
         val broken = when {
-            stale > 0 -> "${Wording.count(stale, "read")} returned data that was too old."
-            refused > (reads + refused) * TOLERATED_REFUSALS ->
-                "${Wording.count(
+            stale > 0 -> "${FigureFormat.count(stale, "read")} returned data that was too old."
+            refused > (reads + refused) * TOLERATED_REFUSAL_SHARE ->
+                "${FigureFormat.count(
                     refused,
                     "read",
-                )} of ${Wording.count(reads + refused)} found no data that was fresh enough."
+                )} of ${FigureFormat.count(reads + refused)} found no data that was fresh enough."
             else -> null
         }
-        val byReplicas = if (reads == 0L) "" else "; replicas served ${Wording.share(replicas.toDouble() / reads)}"
-        return promise(
+        val byReplicas = if (reads == 0L) "" else "; replicas served ${FigureFormat.share(replicas.toDouble() / reads)}"
+        return promiseReport(
             "Readers served fresh enough",
             reads,
             open = 0,
             broken,
             unsure = "",
             none = "Nobody read.",
-            good = "All ${Wording.count(reads, "read")} came from members proved to hold their session's own writes " +
-                "and data no older than the answers allow$byReplicas.",
+            good =
+                "All ${FigureFormat.count(
+                    reads,
+                    "read",
+                )} came from members proved to hold their session's own writes " +
+                    "and data no older than the answers allow$byReplicas.",
         ).copy(unconditional = stale > 0)
     }
 
-    private fun urgent(kinds: List<JudgedKind>): PromiseReport {
-        val figures = kinds.filter { it.answers?.rank == Rank.URGENT }.map { it.figures }
+    private fun evaluateUrgentWork(kinds: List<EvaluatedKind>): PromiseReport {
+        val figures = kinds.filter { it.configuration?.rank == Rank.URGENT }.map { it.figures }
         val served = figures.sumOf { it.served }
         val within = figures.sumOf { it.withinTarget }
-        val goal = Wording.share(TargetGoal.of(Rank.URGENT))
+        val goal = FigureFormat.share(LatencyGoal.of(Rank.URGENT))
         val share = if (served == 0L) 1.0 else within.toDouble() / served
-        val sentence = "${Wording.share(share)} of ${Wording.count(served, "urgent request")} were answered within " +
-            "their target; the goal is $goal."
-        return promise(
+        val sentence =
+            "${FigureFormat.share(
+                share,
+            )} of ${FigureFormat.count(served, "urgent request")} were answered within " +
+                "their target; the goal is $goal."
+        return promiseReport(
             "Urgent work on target",
             served,
             open = 0,
-            broken = sentence.takeIf { share < TargetGoal.of(Rank.URGENT) },
+            broken = sentence.takeIf { share < LatencyGoal.of(Rank.URGENT) },
             unsure = "",
             none = "There was no urgent work.",
             good = sentence,
         ).copy(unconditional = false)
     }
 
-    private fun promise(
+    private fun promiseReport(
         title: String,
         amount: Long,
         open: Long,
@@ -149,12 +160,12 @@
             else -> PromiseReport(title, Verdict.GOOD, good)
         }
 
-    private fun overall(promises: List<PromiseReport>, coverage: Coverage, worked: Boolean): Verdict {
+    private fun overallVerdict(promises: List<PromiseReport>, coverage: Coverage, hasServedRequests: Boolean): Verdict {
         val verdicts = promises.map { it.verdict }
         return when {
             Verdict.BAD in verdicts -> Verdict.BAD
             Verdict.UNSURE in verdicts || !coverage.complete -> Verdict.UNSURE
-            worked -> Verdict.GOOD
+            hasServedRequests -> Verdict.GOOD
             else -> Verdict.NONE
         }
     }
@@ -172,5 +183,5 @@
 
     private fun verb(number: Int): String = if (number == 1) "is" else "are"
 
-    private const val TOLERATED_REFUSALS = 0.001
+    private const val TOLERATED_REFUSAL_SHARE = 0.001
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayRecorder.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayRecorder.kt
@@ -19,9 +19,9 @@
 import kotlin.time.Duration
 
 /**
- * Counts what one node serves, for today's page. Days are those of UTC.
+ * Counts the requests and failovers of one node by calendar day in UTC, for today's page.
  *
- * Safe for use by many threads: one lock guards all counts and is held for no call to the outside.
+ * Thread-safe: one lock guards all counts and is not held during I/O.
  */
 public class DayRecorder(vm: VmName, private val clock: Clock) {
     private val source = SummarySource(vm, clock.instant().toEpochMilli())
@@ -29,13 +29,15 @@
     private val days = sortedMapOf<String, DayCounts>()
     private var sequence = 0L
 
-    /** Counts a request that was answered with [reply] after [latency]. */
+    /** Counts a request that completed with [reply] after [latency]. */
     public fun recordCompletion(request: CallerRequest, reply: CallerReply, latency: Duration) {
         count(request) { kind ->
-            kind.complete(latency, request.kind.targetMillis)
-            if (request.kind.access == Access.READ) kind.countRead(reply.role)
+            kind.recordCompletion(latency, request.kind.targetMillis)
+            if (request.kind.access == Access.READ) kind.recordRead(reply.role)
             if (reply.repeated && request.kind.repetition == Repetition.AT_MOST_ONCE) kind.repeated++
-            request.keyHash()?.let { kind.settle(it, told = reply.repeated || request.work is Work.Resolve) }
+            request.idempotencyKeyHash()?.let {
+                kind.recordKnownOutcome(it, fromRecord = reply.repeated || request.work is Work.Resolve)
+            }
         }
     }
 
@@ -43,30 +45,34 @@
     public fun recordFailure(request: CallerRequest, failure: Failure) {
         count(request) { kind ->
             when {
-                failure.effect == Effect.UNKNOWN -> kind.leaveOpen(request.keyHash(), failure.reason)
+                failure.effect == Effect.UNKNOWN ->
+                    kind.recordUnknownOutcome(request.idempotencyKeyHash(), failure.reason)
+
                 failure.reason in callerFaults -> kind.callerFaults++
-                else -> kind.refuse(failure.reason)
+                else -> kind.recordRefusal(failure.reason)
             }
         }
     }
 
-    /** Notes that the outcome of the work with the key of [request] was told as not run. */
+    /** Marks the work with the idempotency key of [request] as resolved: the caller was told that it did not run. */
     public fun recordResolvedAsNotRun(request: CallerRequest) {
-        count(request) { kind -> request.keyHash()?.let { kind.settle(it, told = true) } }
+        count(request) { kind ->
+            request.idempotencyKeyHash()?.let { kind.recordKnownOutcome(it, fromRecord = true) }
+        }
     }
 
-    /** Adds results of checks that read back acknowledged work of the kind of [identity]. */
+    /** Adds the results of checks that read back acknowledged work of the kind [identity]. */
     public fun recordChecks(identity: KindIdentity, results: CheckFigures) {
         lock.withLock { today().kind(identity).checks += results }
     }
 
-    /** Counts a change of primary of [database] to [term] after [gap] without service. */
+    /** Counts a failover of [database] to a primary in [term], after [gap] without service. */
     public fun recordFailover(database: DatabaseName, term: Term, gap: Duration) {
         val at = clock.instant().toEpochMilli()
         lock.withLock { today().failovers += FailoverFigures(database, term.value, gap.inWholeMilliseconds, at) }
     }
 
-    /** Returns the summaries of today and, shortly after midnight, of yesterday. */
+    /** Returns the summaries of the days with counts: today and the last day before it that this node counted. */
     public fun summaries(): List<DaySummary> =
         lock.withLock {
             today()
@@ -80,7 +86,7 @@
 
     private fun today(): DayCounts {
         val counts = days.getOrPut(dateOf(clock.instant())) { DayCounts() }
-        while (days.size > KEPT_DAYS) days.remove(days.firstKey())
+        while (days.size > RETAINED_DAYS) days.remove(days.firstKey())
         return counts
     }
 
@@ -102,7 +108,7 @@
     }
 
     public companion object {
-        private const val KEPT_DAYS = 2
+        private const val RETAINED_DAYS = 2
 
         private val callerFaults = setOf(
             FailureReason.INVALID_REQUEST,
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayReport.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayReport.kt
@@ -7,23 +7,23 @@
 import java.time.Instant
 import kotlin.time.Duration
 
-/** Judgement on a promise or on the day. */
+/** Evaluation result of a promise or of the whole day. */
 public enum class Verdict {
-    /** Kept. */
+    /** The promise, or each promise of the day, is kept. */
     GOOD,
 
-    /** Broken. */
+    /** The promise, or one of the day, is broken. */
     BAD,
 
-    /** The figures do not allow a judgement. */
+    /** The figures are incomplete, or the outcome of a request is unknown. */
     UNSURE,
 
-    /** There was nothing to judge. */
+    /** There was no work to evaluate. */
     NONE,
 }
 
 /**
- * What is known about a day when its page is made.
+ * Input of the evaluation of a day.
  *
  * @property liveVms the VMs whose figures are expected.
  * @property staleAfter age from which the newest figures of a live VM count as missing.
@@ -40,9 +40,10 @@
 )
 
 /**
- * One promise to the owner, in a plain [sentence].
+ * Evaluation of one promise to the operator.
  *
- * @property unconditional whether a breach counts at any load and through any fault, unlike a missed goal.
+ * @property sentence the result in plain language.
+ * @property unconditional whether the promise holds at any load and during any fault, unlike a performance goal.
  */
 public data class PromiseReport(
     val title: String,
@@ -52,13 +53,20 @@
 )
 
 /**
- * Something that went wrong.
+ * A problem found in the figures of a day.
  *
- * @property change what to change in the answers, or what else to do.
+ * @property what the problem, with its extent.
+ * @property change recommended change of the answers, or another action.
  */
 public data class Finding(val what: String, val change: String)
 
-/** Service of one kind of work, or of one rank over all teams. A figure that does not apply is null. */
+/**
+ * Table row for one kind of work, or for one rank over all teams. A figure that does not apply is null.
+ *
+ * @property withinTarget share of the served requests that were answered within their target.
+ * @property percentile99 latency within which 99 % of the completed requests were answered.
+ * @property replicaShare share of the reads that replicas answered.
+ */
 public data class ServiceRow(
     val name: String,
     val rank: Rank?,
@@ -66,23 +74,23 @@
     val withinTarget: Double?,
     val target: Duration?,
     val median: Duration?,
-    val slowest: Duration?,
+    val percentile99: Duration?,
     val replicaShare: Double?,
     val refused: Long,
     val unknown: Long,
 )
 
-/** Service of one team. */
+/** Table rows of one team, one for each kind of work. */
 public data class TeamReport(val team: TeamName, val rows: List<ServiceRow>)
 
 /**
- * Today's page before it is laid out.
+ * Content of today's page, independent of its layout.
  *
- * @property notes what the figures do not cover.
+ * @property notes sentences on missing and stale figures.
  */
 public data class DayReport(
     val date: String,
-    val madeAt: Instant,
+    val generatedAt: Instant,
     val verdict: Verdict,
     val headline: String,
     val notes: List<String>,
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DaySummary.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DaySummary.kt
@@ -5,8 +5,8 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Source of figures: one start of the node on one VM. A restarted node is another source, so that what it counted
- * before stays.
+ * Source of figures: one run of the node on one VM. A restarted node is a new source, so that its earlier counts are
+ * kept.
  *
  * @property startedAtMillis start of the node in milliseconds since the Unix epoch.
  */
@@ -16,20 +16,20 @@
 }
 
 /**
- * A change of primary.
+ * A failover of a database group.
  *
  * @property gapMillis time from the last answer of the old primary to the first of the new one, in milliseconds.
- * @property atMillis when it ended, in milliseconds since the Unix epoch.
+ * @property atMillis time at which it ended, in milliseconds since the Unix epoch.
  */
 @Serializable
 public data class FailoverFigures(val database: DatabaseName, val term: Long, val gapMillis: Long, val atMillis: Long)
 
 /**
- * What one source counted on one day so far. A later summary of the same source holds all that the earlier one did.
+ * Cumulative counts of one source on one day. A later summary of the same source includes all earlier ones.
  *
  * @property date calendar day in UTC, such as `2027-03-01`.
- * @property sequence grows with each summary of the source.
- * @property writtenAtMillis when the summary was made, in milliseconds since the Unix epoch.
+ * @property sequence increases with each summary of the source.
+ * @property writtenAtMillis time at which the summary was created, in milliseconds since the Unix epoch.
  */
 @Serializable
 public data class DaySummary(
@@ -41,16 +41,16 @@
     val failovers: List<FailoverFigures> = emptyList(),
 )
 
-/** How far the figures of one source reach. */
+/** Sequence and time of the latest summary of a source that is included in a total. */
 @Serializable
-public data class SourceMark(val source: SummarySource, val sequence: Long, val writtenAtMillis: Long)
+public data class SourceProgress(val source: SummarySource, val sequence: Long, val writtenAtMillis: Long)
 
 /**
  * Summaries of one day by source. Merging is associative, commutative and idempotent: of two summaries of the same
- * source the later one counts.
+ * source it keeps the later one.
  */
 public data class FleetDay(val summaries: Map<SummarySource, DaySummary> = emptyMap()) {
-    /** Returns the later summary of each source. */
+    /** Returns the union of both with the later summary of each source. */
     public fun merge(other: FleetDay): FleetDay =
         FleetDay(
             (summaries.keys + other.summaries.keys).associateWith { source ->
@@ -62,23 +62,23 @@
     public fun totals(): DayTotals =
         DayTotals(
             sources = summaries.values.map {
-                SourceMark(it.source, it.sequence, it.writtenAtMillis)
+                SourceProgress(it.source, it.sequence, it.writtenAtMillis)
             }.sortedBy { it.source },
             kinds = sumKinds(summaries.values.sortedBy { it.source }.flatMap { it.kinds }),
             failovers = distinctFailovers(summaries.values.flatMap { it.failovers }),
         )
 
     public companion object {
-        /** Returns the day with [summaries] merged in any order. */
+        /** Returns the day with [summaries] merged; their order does not matter. */
         public fun of(summaries: Iterable<DaySummary>): FleetDay =
             summaries.fold(FleetDay()) { day, summary -> day.merge(FleetDay(mapOf(summary.source to summary))) }
     }
 }
 
-/** Figures of one day, summed over the [sources]. Sums of disjoint sources add up. */
+/** Figures of one day, summed over the [sources]. Totals of disjoint sources can be added. */
 @Serializable
 public data class DayTotals(
-    val sources: List<SourceMark> = emptyList(),
+    val sources: List<SourceProgress> = emptyList(),
     val kinds: List<KindEntry> = emptyList(),
     val failovers: List<FailoverFigures> = emptyList(),
 ) {
@@ -93,10 +93,10 @@
 
 private fun sumKinds(entries: List<KindEntry>): List<KindEntry> =
     entries.groupBy { it.identity }.toSortedMap().map { (identity, same) ->
-        KindEntry(identity, same.map { it.figures }.reduce(KindFigures::plus))
+        KindEntry(identity, same.map { it.figures }.reduce(KindStatistics::plus))
     }
 
-/** Several VMs may have seen the same change of primary; the longest gap counts. */
+/** Several VMs may report the same failover; the report with the longest gap is kept. */
 private fun distinctFailovers(failovers: List<FailoverFigures>): List<FailoverFigures> =
     failovers.groupBy { it.database to it.term }.values
         .map { same -> same.maxBy { it.gapMillis } }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/HtmlPage.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/HtmlPage.kt
@@ -1,12 +1,12 @@
 package dev.kumquatknot.operations.today
 
-/** Lays out today's page as one HTML document without scripts and without anything from outside. */
+/** Renders today's page as one HTML document without scripts or external resources. */
 public object HtmlPage {
-    private val columns =
+    private val columnTitles =
         listOf("Kind", "Rank", "Requests", "On target", "Median", "99 % within", "From replicas", "Refused", "Unknown")
     private val style: String by lazy { resource("page.css") }
 
-    /** Returns the document. */
+    /** Returns the complete HTML document for [report]. */
     public fun render(report: DayReport): String =
         buildString {
             appendLine("<!DOCTYPE html>")
@@ -40,7 +40,7 @@
 
     private fun StringBuilder.verdict(report: DayReport) {
         appendLine("<header class=\"${name(report.verdict)}\">")
-        appendLine("<p>${escape(report.date)}, ${Wording.time(report.madeAt)} UTC</p>")
+        appendLine("<p>${escape(report.date)}, ${FigureFormat.time(report.generatedAt)} UTC</p>")
         appendLine("<h1>${escape(report.headline)}</h1>")
         appendLine("</header>")
     }
@@ -81,7 +81,7 @@
         if (rows.isEmpty()) return
         appendLine("<table role=\"table\">")
         appendLine("<caption>${escape(title)}</caption>")
-        val headings = columns.joinToString("") { "<th scope=\"col\" role=\"columnheader\">$it</th>" }
+        val headings = columnTitles.joinToString("") { "<th scope=\"col\" role=\"columnheader\">$it</th>" }
         appendLine("<thead role=\"rowgroup\"><tr role=\"row\">$headings</tr></thead>")
         appendLine("<tbody role=\"rowgroup\">")
         rows.forEach { row(it) }
@@ -92,7 +92,7 @@
     private fun StringBuilder.row(row: ServiceRow) {
         val cells = PageText.cells(row).map(::escape)
         append("<tr role=\"row\"><th scope=\"row\" role=\"rowheader\">${cells.first()}</th>")
-        cells.zip(columns).drop(1).forEach { (cell, column) ->
+        cells.zip(columnTitles).drop(1).forEach { (cell, column) ->
             append("<td role=\"cell\" data-label=\"$column\">$cell</td>")
         }
         appendLine("</tr>")
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/KindCounter.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/KindCounter.kt
@@ -3,13 +3,13 @@
 import dev.kumquatknot.core.member.MemberRole
 import dev.kumquatknot.core.outcome.FailureReason
 import dev.kumquatknot.core.request.CallerRequest
-import dev.kumquatknot.operations.today.LatencyFigures.Companion.record
+import dev.kumquatknot.operations.today.LatencyHistogram.Companion.record
 import java.security.MessageDigest
 import java.util.EnumMap
 import java.util.HexFormat
 import kotlin.time.Duration
 
-/** Running counts of one kind of work on one day. The owner's lock guards them. */
+/** Mutable counts of one kind of work on one day. Not thread-safe: the lock of the [DayRecorder] guards them. */
 internal class KindCounter {
     var checks = CheckFigures()
     var repeated = 0L
@@ -23,15 +23,15 @@
     private val refusals = EnumMap<FailureReason, Long>(FailureReason::class.java)
     private val unknownKeys = sortedSetOf<String>()
     private val settledKeys = sortedSetOf<String>()
-    private val latencies = LatencyFigures.emptyHistogram()
+    private val latencies = LatencyHistogram.emptyHistogram()
 
-    fun complete(latency: Duration, targetMillis: Long) {
+    fun recordCompletion(latency: Duration, targetMillis: Long) {
         completed++
         if (latency.inWholeMilliseconds <= targetMillis) withinTarget++
         latencies.record(latency)
     }
 
-    fun countRead(role: MemberRole?) {
+    fun recordRead(role: MemberRole?) {
         when (role) {
             MemberRole.PRIMARY -> primaryReads++
             MemberRole.REPLICA -> replicaReads++
@@ -39,12 +39,12 @@
         }
     }
 
-    fun refuse(reason: FailureReason) {
+    fun recordRefusal(reason: FailureReason) {
         notRun++
         refusals.merge(reason, 1, Long::plus)
     }
 
-    fun leaveOpen(keyHash: String?, reason: FailureReason) {
+    fun recordUnknownOutcome(keyHash: String?, reason: FailureReason) {
         refusals.merge(reason, 1, Long::plus)
         when {
             keyHash == null -> unknownWithoutKey++
@@ -54,14 +54,14 @@
         }
     }
 
-    /** Notes a known outcome. One that was not [told] from a record is kept only where it was open here. */
-    fun settle(keyHash: String, told: Boolean) {
-        val useful = told || keyHash in unknownKeys
-        if (useful && settledKeys.size < MAXIMUM_KEYS) settledKeys += keyHash
+    /** Records a known outcome. An outcome that is not [fromRecord] is kept only if its key ended as unknown here. */
+    fun recordKnownOutcome(keyHash: String, fromRecord: Boolean) {
+        val isRelevant = fromRecord || keyHash in unknownKeys
+        if (isRelevant && settledKeys.size < MAXIMUM_KEYS) settledKeys += keyHash
     }
 
-    fun figures(): KindFigures =
-        KindFigures(
+    fun figures(): KindStatistics =
+        KindStatistics(
             completed,
             withinTarget,
             notRun,
@@ -74,16 +74,16 @@
             settledKeys.toSet(),
             unknownWithoutKey,
             checks,
-            LatencyFigures.of(latencies),
+            LatencyHistogram.of(latencies),
         )
 
     private companion object {
-        const val MAXIMUM_KEYS = 500 // 11 KB a kind in the summary
+        const val MAXIMUM_KEYS = 500 // adds 11 KB for each kind to the summary
     }
 }
 
-/** Returns a short hash of the request's idempotency key, unique with its team and database; null without a key. */
-internal fun CallerRequest.keyHash(): String? {
+/** Returns a short hash of team, database and idempotency key of the request; null without a key. */
+internal fun CallerRequest.idempotencyKeyHash(): String? {
     val text = key?.let { "$team\u0000$database\u0000${it.value}" } ?: return null
     val digest = MessageDigest.getInstance("SHA-256").digest(text.toByteArray())
     return HexFormat.of().formatHex(digest, 0, KEY_HASH_BYTES)
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/KindFigures.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/KindStatistics.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.Serializable
 
 /**
- * Results of checks that read back what had been acknowledged.
+ * Results of checks that read back acknowledged work.
  *
  * @property kept acknowledged work that was found.
  * @property lost acknowledged work that was not found.
@@ -20,29 +20,29 @@
     val doubled: Long = 0,
     val stale: Long = 0,
 ) {
-    /** Returns the results of both. */
+    /** Returns the sum of both. */
     public operator fun plus(other: CheckFigures): CheckFigures =
         CheckFigures(kept + other.kept, lost + other.lost, doubled + other.doubled, stale + other.stale)
 }
 
 /**
- * Figures of one kind of work on one day. They add up over VMs.
+ * Figures of one kind of work on one day. Figures of different sources can be added.
  *
- * @property completed requests that completed, repeats included.
+ * @property completed requests that completed, including repeated ones.
  * @property withinTarget completed requests that were answered within their target.
- * @property notRun requests that were refused or failed and are proved not to have run, callers' own faults excluded.
- * @property callerFaults requests that failed by the caller's own fault, such as a malformed request.
- * @property refusals the [notRun] and unknown ones by reason.
+ * @property notRun requests that were refused or failed and certainly did not run, without the caller faults.
+ * @property callerFaults requests that failed through a fault of the caller, such as a malformed request.
+ * @property refusals number of [notRun] requests and requests of unknown outcome by reason.
  * @property primaryReads reads that the primary answered.
  * @property replicaReads reads that a replica answered.
- * @property repeated repeats of at-most-once work that were answered from its record and ran nothing.
+ * @property repeated retries of at-most-once work that were answered from its record and ran nothing.
  * @property unknownKeys hashes of the idempotency keys of requests that ended with unknown outcome.
- * @property settledKeys hashes of the idempotency keys whose outcome was told later.
+ * @property settledKeys hashes of the idempotency keys whose outcome was reported to the caller later.
  * @property unknownWithoutKey requests of unknown outcome that carried no key, or more than the key lists hold.
- * @property latencies of completed requests.
+ * @property latencies latencies of the completed requests.
  */
 @Serializable
-public data class KindFigures(
+public data class KindStatistics(
     val completed: Long = 0,
     val withinTarget: Long = 0,
     val notRun: Long = 0,
@@ -55,17 +55,17 @@
     val settledKeys: Set<String> = emptySet(),
     val unknownWithoutKey: Long = 0,
     val checks: CheckFigures = CheckFigures(),
-    val latencies: LatencyFigures = LatencyFigures.NONE,
+    val latencies: LatencyHistogram = LatencyHistogram.NONE,
 ) {
-    /** Requests whose outcome nobody knows yet. */
+    /** Requests whose outcome is still unknown. */
     val openUnknown: Long get() = unknownWithoutKey + (unknownKeys - settledKeys).size
 
-    /** Requests that count towards the target: all but the callers' own faults. */
+    /** Requests that count towards the target: all except the caller faults. */
     val served: Long get() = completed + notRun + unknownWithoutKey + unknownKeys.size
 
-    /** Returns the figures of both, which must come from different sources. */
-    public operator fun plus(other: KindFigures): KindFigures =
-        KindFigures(
+    /** Returns the sum of both, which must come from different sources. */
+    public operator fun plus(other: KindStatistics): KindStatistics =
+        KindStatistics(
             completed = completed + other.completed,
             withinTarget = withinTarget + other.withinTarget,
             notRun = notRun + other.notRun,
@@ -92,4 +92,4 @@
 
 /** [figures] of the kind of work [identity]. */
 @Serializable
-public data class KindEntry(val identity: KindIdentity, val figures: KindFigures)
+public data class KindEntry(val identity: KindIdentity, val figures: KindStatistics)
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/TargetGoal.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/LatencyGoal.kt
@@ -2,8 +2,8 @@
 
 import dev.kumquatknot.core.configuration.Rank
 
-/** Shares of requests that are to be answered within their target. */
-internal object TargetGoal {
+/** Minimum share of requests of each rank that must be answered within their target. */
+internal object LatencyGoal {
     private const val URGENT = 0.999
     private const val STANDARD = 0.99
     private const val BACKGROUND = 0.95
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/LatencyFigures.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/LatencyHistogram.kt
@@ -9,22 +9,22 @@
 import kotlin.time.Duration.Companion.microseconds
 
 /**
- * Latencies as a histogram that merges without loss: relative error at most 1 %, from 1 µs to 1 h.
+ * Latency histogram that can be merged without loss. It covers 1 µs to 1 h with a relative error of at most 1 %.
  *
- * @property encoded the histogram, compressed by HdrHistogram and written in Base64; empty where there is none.
+ * @property encoded the histogram, compressed by HdrHistogram and encoded in Base64; empty without latencies.
  */
 @JvmInline
 @Serializable
-public value class LatencyFigures(public val encoded: String) {
-    /** Returns the latencies of both. */
-    public operator fun plus(other: LatencyFigures): LatencyFigures =
+public value class LatencyHistogram(public val encoded: String) {
+    /** Returns the histogram of the latencies of both. */
+    public operator fun plus(other: LatencyHistogram): LatencyHistogram =
         when {
             encoded.isEmpty() -> other
             other.encoded.isEmpty() -> this
             else -> of(decode().apply { add(other.decode()) })
         }
 
-    /** Returns the latency within which [share] (from 0 to 1) of the answers came; null without answers. */
+    /** Returns the quantile at [share] (from 0 to 1); null without latencies. */
     public fun quantile(share: Double): Duration? {
         if (encoded.isEmpty()) return null
         val histogram = decode()
@@ -35,28 +35,28 @@
         Histogram.decodeFromCompressedByteBuffer(ByteBuffer.wrap(Base64.getDecoder().decode(encoded)), 0)
 
     public companion object {
-        /** No latencies. */
-        public val NONE: LatencyFigures = LatencyFigures("")
+        /** Histogram without latencies. */
+        public val NONE: LatencyHistogram = LatencyHistogram("")
 
         private const val PERCENT = 100.0
         private const val SIGNIFICANT_DIGITS = 2
-        private val longest = 1.hours
+        private val maximumLatency = 1.hours
 
-        /** Returns the figures of [latencies]. */
-        public fun of(latencies: Iterable<Duration>): LatencyFigures =
+        /** Returns the histogram of [latencies]; those above 1 h are counted as 1 h. */
+        public fun of(latencies: Iterable<Duration>): LatencyHistogram =
             of(emptyHistogram().apply { latencies.forEach { record(it) } })
 
-        internal fun emptyHistogram(): Histogram = Histogram(1, longest.inWholeMicroseconds, SIGNIFICANT_DIGITS)
+        internal fun emptyHistogram(): Histogram = Histogram(1, maximumLatency.inWholeMicroseconds, SIGNIFICANT_DIGITS)
 
         internal fun Histogram.record(latency: Duration) {
-            recordValue(latency.coerceIn(Duration.ZERO, longest).inWholeMicroseconds)
+            recordValue(latency.coerceIn(Duration.ZERO, maximumLatency).inWholeMicroseconds)
         }
 
-        internal fun of(histogram: Histogram): LatencyFigures {
+        internal fun of(histogram: Histogram): LatencyHistogram {
             if (histogram.totalCount == 0L) return NONE
             val buffer = ByteBuffer.allocate(histogram.neededByteBufferCapacity)
             val length = histogram.encodeIntoCompressedByteBuffer(buffer)
-            return LatencyFigures(Base64.getEncoder().encodeToString(buffer.array().copyOf(length)))
+            return LatencyHistogram(Base64.getEncoder().encodeToString(buffer.array().copyOf(length)))
         }
     }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/SummaryPublisher.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/SummaryPublisher.kt
@@ -6,11 +6,11 @@
 import kotlin.time.Duration
 
 /**
- * Publishes the figures of one node at the pace of [SummaryPace]. A failed write loses nothing: the next summary holds
- * all that the failed one did.
+ * Writes the figures of one node at the intervals of [SummarySchedule]. A failed write loses nothing, since summaries
+ * are cumulative.
  *
- * @param liveVms the VMs of the proxy as this node knows them, itself included.
- * @param report is told about a failed call to the platform.
+ * @param liveVms the live VMs of the proxy as observed by this node.
+ * @param report called with each failure of a call to the platform.
  */
 public class SummaryPublisher(
     private val vm: VmName,
@@ -20,28 +20,28 @@
     private val liveVms: () -> Set<VmName>,
     private val report: (StoreFailure) -> Unit,
 ) {
-    private val nextFolds = mutableMapOf<Int, Duration>()
+    private val nextAggregations = mutableMapOf<Int, Duration>()
 
-    /** Writes the summaries, folds the groups that fall to this VM, and returns the time until the next call. */
+    /** Writes the summaries, aggregates the VM groups assigned to this VM, and returns the time to the next call. */
     public fun publish(): Duration {
-        val live = liveVms() + vm
-        val bytes = recorder.summaries().sumOf { summary -> store.write(summary).fold({ failed(it) }, { it }) }
-        if (live.size > SummaryPace.DIRECT_SOURCES) foldDue(live)
-        return SummaryPace.writeInterval(live.size, bytes)
+        val liveVmsWithSelf = liveVms() + vm
+        val bytes = recorder.summaries().sumOf { summary -> store.write(summary).fold({ reportFailure(it) }, { it }) }
+        if (liveVmsWithSelf.size > SummarySchedule.DIRECT_SOURCES) aggregateDueGroups(liveVmsWithSelf)
+        return SummarySchedule.writeInterval(liveVmsWithSelf.size, bytes)
     }
 
-    private fun foldDue(live: Set<VmName>) {
+    private fun aggregateDueGroups(liveVmsWithSelf: Set<VmName>) {
         val now = clock.elapsed()
         val date = DayRecorder.dateOf(clock.instant())
-        for (group in 0 until SummaryPace.GROUPS) {
-            val due = now >= (nextFolds[group] ?: now)
-            if (!due || SummaryStore.folderOf(group, live) != vm) continue
-            val bytes = store.fold(date, group).fold({ failed(it) }, { it })
-            nextFolds[group] = now + SummaryPace.foldInterval(live.size, bytes)
+        for (vmGroup in 0 until SummarySchedule.VM_GROUPS) {
+            val due = now >= (nextAggregations[vmGroup] ?: now)
+            if (!due || SummaryStore.aggregatorOf(vmGroup, liveVmsWithSelf) != vm) continue
+            val bytes = store.aggregate(date, vmGroup).fold({ reportFailure(it) }, { it })
+            nextAggregations[vmGroup] = now + SummarySchedule.aggregationInterval(liveVmsWithSelf.size, bytes)
         }
     }
 
-    private fun failed(failure: StoreFailure): Int {
+    private fun reportFailure(failure: StoreFailure): Int {
         report(failure)
         return 0
     }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/SummaryStore.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/SummaryStore.kt
@@ -15,30 +15,30 @@
 import kotlinx.serialization.json.Json
 
 /**
- * Keeps the figures of a day in the platform's object API.
+ * Stores the figures of a day in the platform's object API.
  *
- * Each source owns the object `today/DATE/vm/GROUP/VM/START`. One VM of each group folds the group's objects into
- * `today/DATE/group/GROUP`; folding starts from the sources' objects each time, so that it may be repeated and
- * done by two VMs. Used by one thread at a time.
+ * Each source owns the object `today/DATE/vm/GROUP/VM/START`. One VM aggregates the objects of each VM group into
+ * `today/DATE/group/GROUP`. Aggregation always starts from the objects of the sources, so it is idempotent and may be
+ * done by two VMs at once. Not thread-safe.
  */
 public class SummaryStore(private val store: ObjectStore) {
     private val versions = mutableMapOf<String, ObjectVersion>()
 
-    /** Writes [summary] over the source's earlier one and returns its size in bytes. */
+    /** Replaces the earlier summary of the source by [summary] and returns the length of its JSON text. */
     public fun write(summary: DaySummary): Either<StoreFailure, Int> =
-        put(keyOf(summary), json.encodeToString(DaySummary.serializer(), summary))
+        writeObject(keyOf(summary), json.encodeToString(DaySummary.serializer(), summary))
 
-    /** Folds the summaries of [group] into the object of the group and returns the number of bytes read. */
-    public fun fold(date: String, group: Int): Either<StoreFailure, Int> =
-        store.readAll("$ROOT/$date/vm/$group/").flatMap { objects ->
+    /** Aggregates the summaries of [vmGroup] into the object of the group and returns the number of bytes read. */
+    public fun aggregate(date: String, vmGroup: Int): Either<StoreFailure, Int> =
+        store.readAll("$ROOT/$date/vm/$vmGroup/").flatMap { objects ->
             val totals = fleetDay(objects).totals()
-            put("$ROOT/$date/group/$group", json.encodeToString(DayTotals.serializer(), totals))
+            writeObject("$ROOT/$date/group/$vmGroup", json.encodeToString(DayTotals.serializer(), totals))
                 .map { objects.sumOf { it.value.length } }
         }
 
-    /** Reads the day of a fleet of [vms] in one call; [own] are the newer summaries of the node that asks, if any. */
+    /** Reads the day of a fleet of [vms] in one call; [own] holds newer summaries of the reading node, if any. */
     public fun read(date: String, vms: Int, own: FleetDay = FleetDay()): Either<StoreFailure, DayTotals> =
-        if (vms <= SummaryPace.DIRECT_SOURCES) {
+        if (vms <= SummarySchedule.DIRECT_SOURCES) {
             store.readAll("$ROOT/$date/vm/").map { fleetDay(it).merge(own).totals() }
         } else {
             store.readAll("$ROOT/$date/group/").map { groups ->
@@ -46,21 +46,25 @@
             }
         }
 
-    private fun put(key: String, value: String): Either<StoreFailure, Int> {
+    private fun writeObject(key: String, value: String): Either<StoreFailure, Int> {
         val expected = versions[key] ?: ObjectVersion.ABSENT
         val written = store.write(key, value, expected).fold(
-            { failure -> retryOver(key, value, failure) },
+            { failure -> retryAfterConflict(key, value, failure) },
             { it.right() },
         )
         return written.map { stored ->
-            if (versions.size >= MAXIMUM_VERSIONS) versions.clear()
+            if (versions.size >= MAXIMUM_CACHED_VERSIONS) versions.clear()
             versions[key] = stored.version
             value.length
         }
     }
 
-    /** Writes over the version that a lost answer or an earlier fold left behind. */
-    private fun retryOver(key: String, value: String, failure: StoreFailure): Either<StoreFailure, StoredObject> {
+    /** Retries a write whose expected version is outdated by a write with a lost answer or by another aggregation. */
+    private fun retryAfterConflict(
+        key: String,
+        value: String,
+        failure: StoreFailure,
+    ): Either<StoreFailure, StoredObject> {
         if (failure !is StoreFailure.Conflict) return failure.left()
         return store.write(key, value, failure.current?.version ?: ObjectVersion.ABSENT)
     }
@@ -77,22 +81,22 @@
 
     public companion object {
         private const val ROOT = "today"
-        private const val MAXIMUM_VERSIONS = 100
+        private const val MAXIMUM_CACHED_VERSIONS = 100
         private val json = Json { ignoreUnknownKeys = true }
 
-        /** Returns the group of [vm]. */
-        public fun groupOf(vm: VmName): Int =
-            Math.floorMod(Hashing.komihash5_0().hashCharsToLong(vm.value), SummaryPace.GROUPS)
+        /** Returns the VM group of [vm], by hash of its name. */
+        public fun vmGroupOf(vm: VmName): Int =
+            Math.floorMod(Hashing.komihash5_0().hashCharsToLong(vm.value), SummarySchedule.VM_GROUPS)
 
-        /** Returns the VM among [live] that folds [group], by rendezvous hashing; null without VMs. */
-        public fun folderOf(group: Int, live: Collection<VmName>): VmName? =
+        /** Returns the VM among [live] that aggregates [vmGroup], by rendezvous hashing; null without VMs. */
+        public fun aggregatorOf(vmGroup: Int, live: Collection<VmName>): VmName? =
             live.maxWithOrNull(
-                compareBy<VmName> { Hashing.komihash5_0().hashCharsToLong("$it/$ROOT/$group") }.thenBy { it },
+                compareBy<VmName> { Hashing.komihash5_0().hashCharsToLong("$it/$ROOT/$vmGroup") }.thenBy { it },
             )
 
         private fun keyOf(summary: DaySummary): String {
             val source = summary.source
-            return "$ROOT/${summary.date}/vm/${groupOf(source.vm)}/${source.vm}/${source.startedAtMillis}"
+            return "$ROOT/${summary.date}/vm/${vmGroupOf(source.vm)}/${source.vm}/${source.startedAtMillis}"
         }
     }
 }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/TerminalPage.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/TerminalPage.kt
@@ -1,16 +1,16 @@
 package dev.kumquatknot.operations.today
 
-/** Lays out today's page as plain text for a terminal of 120 columns. */
+/** Renders today's page as plain text for a terminal of 120 columns. */
 public object TerminalPage {
     private const val NAME_WIDTH = 22
     private const val FIGURE_WIDTH = 10
-    private val columns =
+    private val columnTitles =
         listOf("kind", "rank", "requests", "on target", "median", "99 %", "replicas", "refused", "unknown")
 
-    /** Returns the page with a line end at its end. */
+    /** Returns the text for [report]; it ends with a line break. */
     public fun render(report: DayReport): String =
         buildString {
-            appendLine("kumquatknot, ${report.date}, ${Wording.time(report.madeAt)} UTC")
+            appendLine("kumquatknot, ${report.date}, ${FigureFormat.time(report.generatedAt)} UTC")
             appendLine()
             appendLine(report.headline)
             appendLine()
@@ -46,7 +46,7 @@
         if (rows.isEmpty()) return
         appendLine()
         appendLine(title)
-        appendLine(line(columns))
+        appendLine(line(columnTitles))
         rows.forEach { appendLine(line(PageText.cells(it))) }
     }
 
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/TodayPage.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/TodayPage.kt
@@ -6,12 +6,12 @@
 import dev.kumquatknot.core.time.Clock
 
 /**
- * Today's page: reads the day's figures from the platform, judges them and lays them out.
+ * Page on the current day: reads the figures from the platform, evaluates and renders them.
  *
- * Makes one call to the platform for each page. While the platform does not answer, the page shows the figures of this
+ * Each page makes one call to the platform. While the platform does not answer, the page shows the figures of this
  * node alone and says so.
  *
- * @param own counts of this node; null where the page is made by a program that serves nothing.
+ * @param own counts of this node; null in a process that serves no requests.
  * @param liveVms the VMs whose figures are expected.
  */
 public class TodayPage(
@@ -27,21 +27,21 @@
     /** Returns the page as text for a terminal. */
     public fun text(): String = TerminalPage.render(report())
 
-    /** Returns the report that the pages lay out. */
+    /** Returns the report that both renderings of the page show. */
     public fun report(): DayReport {
         val now = clock.instant()
         val date = DayRecorder.dateOf(now)
         val live = liveVms()
         val ownDay = FleetDay.of(own?.summaries().orEmpty().filter { it.date == date })
         val read = store.read(date, live.size, ownDay)
-        return DayJudge.judge(
+        return DayEvaluator.evaluate(
             DayContext(
                 date,
                 now,
                 configuration(),
                 read.getOrElse { ownDay.totals() },
                 live,
-                SummaryPace.staleAfter(live.size),
+                SummarySchedule.staleAfter(live.size),
                 platformAnswered = read.isRight(),
             ),
         )
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/ConfigurationApplierSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/ConfigurationApplierSpec.kt
@@ -20,7 +20,7 @@
 import java.nio.file.Path
 
 class ConfigurationApplierSpec {
-    private val store = ScriptedStore()
+    private val store = FaultInjectingStore()
     private val applier = ConfigurationApplier(store, pause = {})
     private val answers = checkNotNull(AnswerFolder(Path.of("../examples/pesebre-unido")).read().getOrNull())
     private val first = ConfigurationGenerator.generate(answers)
@@ -55,7 +55,7 @@
     @Nested
     inner class `a preview` {
         @Test
-        fun `names each change and changes nothing`() {
+        fun `lists each change and applies none`() {
             applier.apply(first)
             val preview = checkNotNull(applier.preview(second).getOrNull())
             expectThat(preview.changes).map { it.text }
@@ -65,39 +65,39 @@
     }
 
     @Nested
-    inner class `a lost answer` {
+    inner class `a lost answer to a write` {
         @Test
-        fun `after the change took effect ends as applied`() {
+        fun `that took effect is reported as applied`() {
             store.faults += WriteFault.LOST_AFTER
             expectThat(applier.apply(first).getOrNull()?.number).isEqualTo(1)
             expectThat(stored()?.number).isEqualTo(1)
         }
 
         @Test
-        fun `before the change took effect is followed by another attempt`() {
+        fun `that did not take effect is followed by another attempt`() {
             store.faults += listOf(WriteFault.LOST_BEFORE, WriteFault.REFUSED)
             expectThat(applier.apply(first).getOrNull()?.number).isEqualTo(1)
             expectThat(stored()?.number).isEqualTo(1)
         }
 
         @Test
-        fun `to every attempt leaves the outcome unknown`() {
+        fun `in every attempt leaves the outcome unknown`() {
             repeat(5) { store.faults += WriteFault.LOST_BEFORE }
             expectThat(applier.apply(first).leftOrNull()).isEqualTo(ApplyFailure.Unknown(1))
         }
     }
 
     @Nested
-    inner class `a store that is down` {
+    inner class `an unavailable store` {
         @Test
-        fun `leaves everything as it was`() {
+        fun `fails the update without a write`() {
             store.readsFail = true
             expectThat(applier.apply(first).leftOrNull()).isNotNull().isA<ApplyFailure.Unavailable>()
             expectThat(store.objects).isEmpty()
         }
 
         @Test
-        fun `that refuses every write leaves everything as it was`() {
+        fun `that refuses every write fails the update`() {
             repeat(5) { store.faults += WriteFault.REFUSED }
             expectThat(applier.apply(first).leftOrNull()).isNotNull().isA<ApplyFailure.Unavailable>()
             expectThat(stored()).isNull()
@@ -105,9 +105,9 @@
     }
 
     @Nested
-    inner class `a racing operator` {
+    inner class `a concurrent update` {
         @Test
-        fun `gets a conflict that names the other's changes`() {
+        fun `fails with a conflict that lists the changes of the other update`() {
             applier.apply(first)
             store.beforeWrite = { ConfigurationApplier(store, pause = {}).apply(second) }
             val failure = applier.apply(first.withTarget(200)).leftOrNull()
@@ -117,14 +117,14 @@
         }
 
         @Test
-        fun `who applied the same content makes no conflict`() {
+        fun `with the same content is no conflict`() {
             applier.apply(first)
             store.beforeWrite = { ConfigurationApplier(store, pause = {}).apply(second) }
             expectThat(applier.apply(second).getOrNull()?.number).isEqualTo(2)
         }
 
         @Test
-        fun `is refused when another number than expected is in force`() {
+        fun `is refused when the number in force is not the expected one`() {
             applier.apply(first)
             val failure = applier.apply(second, ApplyOptions(expectedNumber = 7)).leftOrNull()
             expectThat(failure).isEqualTo(ApplyFailure.UnexpectedNumber(7, 1))
@@ -152,13 +152,13 @@
     }
 
     @Nested
-    inner class `an object that is no configuration` {
+    inner class `a stored object that is no configuration` {
         @Test
         fun `is never overwritten`() {
-            val foreign = StoredObject(FleetConfiguration.STORE_KEY, ObjectVersion(4), "hello")
-            store.objects[FleetConfiguration.STORE_KEY] = foreign
+            val unreadableObject = StoredObject(FleetConfiguration.STORE_KEY, ObjectVersion(4), "hello")
+            store.objects[FleetConfiguration.STORE_KEY] = unreadableObject
             expectThat(applier.apply(first).leftOrNull()).isNotNull().isA<ApplyFailure.Unreadable>()
-            expectThat(store.objects[FleetConfiguration.STORE_KEY]).isEqualTo(foreign)
+            expectThat(store.objects[FleetConfiguration.STORE_KEY]).isEqualTo(unreadableObject)
         }
     }
 }
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/ScriptedStore.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/FaultInjectingStore.kt
@@ -10,11 +10,11 @@
 import dev.kumquatknot.core.platform.StoredObject
 import kotlin.time.Duration
 
-/** What happens to the next write. */
+/** Fault of one write: refused, or its answer lost before or after the write takes effect. */
 internal enum class WriteFault { NONE, REFUSED, LOST_BEFORE, LOST_AFTER }
 
-/** An object store in memory whose next writes fail as told. */
-internal class ScriptedStore : ObjectStore {
+/** In-memory object store that injects the queued [faults] into the next writes. */
+internal class FaultInjectingStore : ObjectStore {
     val objects = mutableMapOf<String, StoredObject>()
     val faults = ArrayDeque<WriteFault>()
     var readsFail = false
@@ -31,9 +31,9 @@
         }
 
     override fun write(key: String, value: String, expected: ObjectVersion): Either<StoreFailure, StoredObject> {
-        val interfere = beforeWrite
+        val concurrentWrite = beforeWrite
         beforeWrite = {}
-        interfere()
+        concurrentWrite()
         val fault = faults.removeFirstOrNull() ?: WriteFault.NONE
         if (fault == WriteFault.REFUSED) return StoreFailure.Refused("rate").left()
         if (fault == WriteFault.LOST_BEFORE) return StoreFailure.NoAnswer("lost").left()
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/SessionKeyStoreSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/configuration/SessionKeyStoreSpec.kt
@@ -8,19 +8,20 @@
 import strikt.assertions.isNull
 
 class SessionKeyStoreSpec {
-    private val store = ScriptedStore()
-    private var made = 0
-    private val keys = SessionKeyStore(store) { size -> ByteArray(size) { made.toByte() }.also { made++ } }
+    private val store = FaultInjectingStore()
+    private var generatedKeys = 0
+    private val keys =
+        SessionKeyStore(store) { size -> ByteArray(size) { generatedKeys.toByte() }.also { generatedKeys++ } }
 
     @Nested
-    inner class `without keys` {
+    inner class `without stored keys` {
         @Test
-        fun `creates the first`() {
+        fun `creates the first keys`() {
             expectThat(keys.ensure().getOrNull()).isNotNull().get { number }.isEqualTo(1)
         }
 
         @Test
-        fun `takes the keys of another who came first`() {
+        fun `returns the keys that another operator creates concurrently`() {
             store.beforeWrite = { SessionKeyStore(store) { ByteArray(it) { 9 } }.ensure() }
             val other = SessionKeyStore(store) { ByteArray(it) { 9 } }
             expectThat(keys.ensure().getOrNull()).isEqualTo(other.read().getOrNull())
@@ -34,7 +35,7 @@
     }
 
     @Nested
-    inner class `with keys` {
+    inner class `with stored keys` {
         private val first = checkNotNull(keys.ensure().getOrNull())
 
         @Test
@@ -51,14 +52,14 @@
         }
 
         @Test
-        fun `reports a rotation that lost a race`() {
+        fun `fails when another operator rotates concurrently`() {
             store.beforeWrite = { SessionKeyStore(store).rotate() }
             expectThat(keys.rotate().leftOrNull()).isNotNull()
             expectThat(keys.read().getOrNull()?.number).isEqualTo(2)
         }
 
         @Test
-        fun `does not print them`() {
+        fun `omits them from toString`() {
             expectThat(first.toString()).isEqualTo("SessionKeys(number=1)")
         }
     }
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestTimelineSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestTimelineSpec.kt
@@ -23,15 +23,15 @@
         RequestTimeline.of("r1", logs.toList())?.lines?.map { "${it.role} ${it.line.source} ${it.line.event}" }
 
     @Nested
-    inner class `a line of a log` {
+    inner class `a log line` {
         @Test
-        fun `may have text before its object`() {
+        fun `may have text before its JSON object`() {
             val text = """12.5 vm-1 {"@timestamp":"2026-05-01T10:00:00Z","eventName":"NODE_STARTED","vm":"v"}"""
             expectThat(LogLine.parse("a", text)).isNotNull().get { fields }.isEqualTo(mapOf("vm" to "v"))
         }
 
         @Test
-        fun `that is no event is passed over`() {
+        fun `that is no event is skipped`() {
             val others =
                 listOf("", "text", "{", "{}", """{"eventName":"X"}""", """{"eventName":"X","@timestamp":"now"}""")
             others.forEach { expectThat(LogLine.parse("a", it)).isNull() }
@@ -39,14 +39,14 @@
     }
 
     @Nested
-    inner class `the story of a request` {
+    inner class `the timeline of a request` {
         @Test
-        fun `is none where no log names it`() {
+        fun `is null if no log line names the request`() {
             expectThat(RequestTimeline.of("r2", listOf(rejected))).isNull()
         }
 
         @Test
-        fun `holds what the deciding VM believed last of the group, and nothing of other groups`() {
+        fun `holds the latest state of the group that the deciding VM logged, and nothing on other groups`() {
             val logs = arrayOf(
                 line("vm-1", 1, "PRIMARY_PROVED", "group" to "g", "member" to "a"),
                 line("vm-1", 5, "PRIMARY_PROVED", "group" to "g", "member" to "a"),
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/questionnaire/ConfigurationGeneratorSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/questionnaire/ConfigurationGeneratorSpec.kt
@@ -18,7 +18,7 @@
             AnswerFolder(Path.of("../examples/$example")).read().getOrElse { error(it.joinToString("\n")) },
         )
 
-    private fun verifyGolden(example: String) {
+    private fun verifyApproved(example: String) {
         Approvals.verify(
             ConfigurationCodec.encodeReadable(generate(example)),
             Options().forFile().withBaseName(example).forFile().withExtension(".json"),
@@ -28,12 +28,12 @@
     @Nested
     inner class `the example of Pesebre Unido` {
         @Test
-        fun `gives the configuration of the golden file`() {
-            verifyGolden("pesebre-unido")
+        fun `gives the configuration in the approved file`() {
+            verifyApproved("pesebre-unido")
         }
 
         @Test
-        fun `survives encoding and decoding`() {
+        fun `is unchanged after encoding and decoding`() {
             val configuration = generate("pesebre-unido")
             expectThat(ConfigurationCodec.decode(ConfigurationCodec.encode(configuration)).getOrNull())
                 .isNotNull().isEqualTo(configuration)
@@ -43,8 +43,8 @@
     @Nested
     inner class `the example of Nile Edge` {
         @Test
-        fun `gives the configuration of the golden file`() {
-            verifyGolden("nile-edge")
+        fun `gives the configuration in the approved file`() {
+            verifyApproved("nile-edge")
         }
     }
 
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/questionnaire/QuestionnaireSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/questionnaire/QuestionnaireSpec.kt
@@ -57,7 +57,7 @@
     }
 
     @Nested
-    inner class `one bad answer` {
+    inner class `one invalid answer` {
         @TestFactory
         fun `gives one problem with file, field, value and remedy`(): List<DynamicTest> =
             badAnswers.map { case ->
@@ -70,7 +70,7 @@
             }
 
         @Test
-        fun `reads as the golden file says`() {
+        fun `gives the problems in the approved file`() {
             val text = badAnswers.joinToString("\n") { case ->
                 "${case.name}\n    " + problems(case.fleet, *case.teams.toTypedArray()).joinToString("\n    ")
             }
@@ -79,7 +79,7 @@
     }
 
     @Nested
-    inner class `several bad answers` {
+    inner class `several invalid answers` {
         @Test
         fun `are all reported at once`() {
             val bad = TEAM.replace(
@@ -91,14 +91,14 @@
         }
 
         @Test
-        fun `suggest the field that was meant`() {
+        fun `suggest the closest known field`() {
             val problem = problems(FLEET, TEAM.replace("\"target\"", "\"Targt\"")).single()
             expectThat(problem.remedy).isEqualTo("write \"target\"")
         }
     }
 
     @Nested
-    inner class `bytes that are no text` {
+    inner class `bytes that are not UTF-8` {
         @Test
         fun `give one problem`() {
             val document = SourceDocument("teams/a.json", byteArrayOf(0x7b, 0xff.toByte(), 0x7d))
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/settings/NodeSettingsReaderSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/settings/NodeSettingsReaderSpec.kt
@@ -18,9 +18,9 @@
     private fun read(text: String) = NodeSettingsReader.read(SourceDocument("node.json", text))
 
     @Nested
-    inner class `good settings` {
+    inner class `valid settings` {
         @Test
-        fun `become typed settings with defaults`() {
+        fun `get the default of an optional field`() {
             expectThat(read(SETTINGS).getOrNull()).isNotNull().get { workers }.isEqualTo(NodeSettings.DEFAULT_WORKERS)
         }
 
@@ -37,14 +37,14 @@
         }
 
         @Test
-        fun `stand in the examples`() {
+        fun `of the example deployment are accepted`() {
             val path = Path.of("../examples/nile-edge/nodes/entry-2.json")
             expectThat(NodeSettingsReader.read(path).getOrNull()?.dataCentre?.value).isEqualTo("luxor-a")
         }
     }
 
     @Nested
-    inner class `bad settings` {
+    inner class `invalid settings` {
         @TestFactory
         fun `give one problem`(): List<DynamicTest> =
             badSettings.map { (name, text) ->
@@ -52,7 +52,7 @@
             }
 
         @Test
-        fun `read as the golden file says`() {
+        fun `give the problems in the approved file`() {
             val messages = badSettings.entries.joinToString("\n") { (name, text) ->
                 "$name\n    ${read(text).leftOrNull()?.first()}"
             }
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayPagesSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayPagesSpec.kt
@@ -10,7 +10,7 @@
 
 class DayPagesSpec {
     private fun verifyPages(name: String, context: DayContext) {
-        val report = DayJudge.judge(context)
+        val report = DayEvaluator.evaluate(context)
         val pages =
             TerminalPage.render(report) + "\n" +
                 HtmlPage.render(report).replace(Regex("(?s)<style>.*</style>"), "<style/>")
@@ -20,42 +20,42 @@
     @Nested
     inner class `a good day` {
         @Test
-        fun `reads as the golden file says`() = verifyPages("good-day", Days.good())
+        fun `matches the approved file`() = verifyPages("good-day", SampleDays.good())
     }
 
     @Nested
     inner class `a bad day` {
         @Test
-        fun `reads as the golden file says`() = verifyPages("bad-day", Days.bad())
+        fun `matches the approved file`() = verifyPages("bad-day", SampleDays.bad())
     }
 
     @Nested
     inner class `an unsure day` {
         @Test
-        fun `reads as the golden file says`() = verifyPages("unsure-day", Days.unsure())
+        fun `matches the approved file`() = verifyPages("unsure-day", SampleDays.unsure())
     }
 
     @Nested
     inner class `an empty day` {
         @Test
-        fun `reads as the golden file says`() = verifyPages("empty-day", Days.empty())
+        fun `matches the approved file`() = verifyPages("empty-day", SampleDays.empty())
     }
 
     @Nested
     inner class `a day without the platform` {
         @Test
-        fun `is unsure although all figures are good`() {
-            val report = DayJudge.judge(Days.good().copy(platformAnswered = false))
+        fun `is unsure even if all figures are good`() {
+            val report = DayEvaluator.evaluate(SampleDays.good().copy(platformAnswered = false))
             expectThat(report.verdict).isEqualTo(Verdict.UNSURE)
         }
     }
 
     @Nested
-    inner class `names from the answers` {
+    inner class `texts in the HTML page` {
         @Test
         fun `are escaped`() {
-            val context = Days.good()
-            val report = DayJudge.judge(context).copy(headline = "<script>")
+            val context = SampleDays.good()
+            val report = DayEvaluator.evaluate(context).copy(headline = "<script>")
             expectThat(HtmlPage.render(report)).contains("<h1>&lt;script&gt;</h1>")
         }
     }
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class DayRecorderSpec {
-    private var time = Days.now
+    private var time = SampleDays.now
     private val clock = object : Clock {
         override fun elapsed(): Duration = Duration.ZERO
 
@@ -40,7 +40,7 @@
     private val reply = CallerReply(emptyList(), token, MemberName("inventory-1-a"), MemberRole.REPLICA)
 
     private fun request(kind: String, key: String? = null, work: Work = Work.Write(emptyList())): CallerRequest {
-        val team = checkNotNull(Days.configuration.team(TeamName("counter")))
+        val team = checkNotNull(SampleDays.configuration.team(TeamName("counter")))
         val configured = checkNotNull(team.kind(KindName(kind)))
         val database = DatabaseName("inventory-1")
         return CallerRequest(
@@ -63,7 +63,7 @@
         "test",
     )
 
-    private fun figures(kind: String): KindFigures =
+    private fun figures(kind: String): KindStatistics =
         recorder.summaries().last().kinds.single { it.identity.kind.value == kind }.figures
 
     @Nested
@@ -91,7 +91,7 @@
         private val unknown = failure(FailureReason.UNCONFIRMED, Effect.UNKNOWN)
 
         @Test
-        fun `stays open until a repeat tells its outcome`() {
+        fun `stays open until a retry reports its outcome`() {
             recorder.recordFailure(request("charge-deposit", "k1"), unknown)
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(1)
             recorder.recordCompletion(request("charge-deposit", "k1"), reply.copy(repeated = true), 5.milliseconds)
@@ -99,14 +99,14 @@
         }
 
         @Test
-        fun `stays open when another key is repeated`() {
+        fun `stays open when a request with another key is retried`() {
             recorder.recordFailure(request("charge-deposit", "k1"), unknown)
             recorder.recordCompletion(request("charge-deposit", "k2"), reply.copy(repeated = true), 5.milliseconds)
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(1)
         }
 
         @Test
-        fun `closes when it is told that it did not run`() {
+        fun `is closed when it is resolved as not run`() {
             recorder.recordFailure(request("charge-deposit", "k1"), unknown)
             recorder.recordResolvedAsNotRun(request("charge-deposit", "k1", Work.Resolve))
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(0)
@@ -122,9 +122,12 @@
     @Nested
     inner class `refused requests` {
         @Test
-        fun `count by reason, callers' own faults apart`() {
+        fun `count by reason, without caller faults`() {
             recorder.recordFailure(request("book-costume", "k"), failure(FailureReason.OVERLOADED, Effect.NOT_RUN))
-            recorder.recordFailure(request("book-costume", "k"), failure(FailureReason.STATEMENT_FAILED, Effect.NOT_RUN))
+            recorder.recordFailure(
+                request("book-costume", "k"),
+                failure(FailureReason.STATEMENT_FAILED, Effect.NOT_RUN),
+            )
             expectThat(figures("book-costume")) {
                 get { refusals }.isEqualTo(mapOf(FailureReason.OVERLOADED to 1L))
                 get { callerFaults }.isEqualTo(1)
@@ -136,7 +139,7 @@
     @Nested
     inner class `after midnight` {
         @Test
-        fun `yesterday is kept apart and the day before forgotten`() {
+        fun `the counts of yesterday are kept separately and those of the day before are dropped`() {
             recorder.recordCompletion(request("book-costume", "k"), reply, 5.milliseconds)
             time = time.plusSeconds(86_400)
             expectThat(recorder.summaries().map { it.date }).containsExactly("2027-12-04", "2027-12-05")
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/FleetDaySpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/FleetDaySpec.kt
@@ -19,13 +19,17 @@
     private val configuration = PropTestConfig(seed = seed, iterations = 50)
     private val entries = arbitrary {
         val count = Arb.int(0..20).bind()
-        Days.kind("counter", "kind-${Arb.int(0..2).bind()}", Days.served(count, count / 2))
+        SampleDays.kind("counter", "kind-${Arb.int(0..2).bind()}", SampleDays.served(count, count / 2))
     }
     private val days = arbitrary {
         val summaries = Arb.list(Arb.int(0..3), 0..4).bind().map { vm ->
             val sequence = Arb.int(1..1000).bind().toLong()
-            // The counts follow from source and sequence, as a source never writes two summaries of one sequence.
-            Days.summary("entry-$vm", listOf(Days.kind("counter", "book", Days.served(sequence.toInt(), 0))), sequence)
+            // Counts depend on the sequence alone: a source never writes two different summaries with one sequence.
+            SampleDays.summary(
+                "entry-$vm",
+                listOf(SampleDays.kind("counter", "book", SampleDays.served(sequence.toInt(), 0))),
+                sequence,
+            )
         }
         FleetDay.of(summaries)
     }
@@ -44,9 +48,9 @@
         }
 
         @Test
-        fun `takes the later summary of a source`() {
-            val older = Days.summary("entry-1", emptyList(), sequence = 1)
-            val newer = Days.summary("entry-1", emptyList(), sequence = 2)
+        fun `keeps the later summary of a source`() {
+            val older = SampleDays.summary("entry-1", emptyList(), sequence = 1)
+            val newer = SampleDays.summary("entry-1", emptyList(), sequence = 2)
             expectThat(FleetDay.of(listOf(newer, older)).summaries.values.single()).isEqualTo(newer)
         }
     }
@@ -54,15 +58,15 @@
     @Nested
     inner class `summing` {
         @Test
-        fun `gives the same in groups as over the whole fleet`() {
+        fun `gives the same total in groups as over the whole fleet`() {
             runBlocking {
                 checkAll(configuration, Arb.list(entries, 1..4), Arb.list(entries, 1..4)) { first, second ->
-                    val one = FleetDay.of(listOf(Days.summary("entry-1", first)))
-                    val other = FleetDay.of(listOf(Days.summary("entry-2", second)))
+                    val one = FleetDay.of(listOf(SampleDays.summary("entry-1", first)))
+                    val other = FleetDay.of(listOf(SampleDays.summary("entry-2", second)))
                     val whole = one.merge(other).totals()
                     val sum = one.totals() + other.totals()
-                    expectThat(sum.kinds.map { it.figures.copy(latencies = LatencyFigures.NONE) })
-                        .isEqualTo(whole.kinds.map { it.figures.copy(latencies = LatencyFigures.NONE) })
+                    expectThat(sum.kinds.map { it.figures.copy(latencies = LatencyHistogram.NONE) })
+                        .isEqualTo(whole.kinds.map { it.figures.copy(latencies = LatencyHistogram.NONE) })
                     expectThat(sum.kinds.map { it.figures.latencies.quantile(0.5) })
                         .isEqualTo(whole.kinds.map { it.figures.latencies.quantile(0.5) })
                 }
@@ -70,16 +74,16 @@
         }
 
         @Test
-        fun `closes an unknown outcome that another VM has told`() {
-            val open = KindFigures(unknownKeys = setOf("a", "b"))
-            val told = KindFigures(settledKeys = setOf("b", "c"))
-            expectThat((open + told).openUnknown).isEqualTo(1)
+        fun `closes an unknown outcome that another VM has resolved`() {
+            val open = KindStatistics(unknownKeys = setOf("a", "b"))
+            val resolved = KindStatistics(settledKeys = setOf("b", "c"))
+            expectThat((open + resolved).openUnknown).isEqualTo(1)
         }
 
         @Test
         fun `merges latencies without loss`() {
-            val fast = LatencyFigures.of(List(99) { 10.milliseconds })
-            val slow = LatencyFigures.of(listOf(900.milliseconds))
+            val fast = LatencyHistogram.of(List(99) { 10.milliseconds })
+            val slow = LatencyHistogram.of(listOf(900.milliseconds))
             expectThat((fast + slow).quantile(0.999)).isNotNull().get { inWholeMilliseconds / 10 }.isEqualTo(90)
             expectThat((fast + slow).quantile(0.5)).isNotNull().get { inWholeMilliseconds }.isEqualTo(10)
         }
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/Days.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/SampleDays.kt
@@ -12,8 +12,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Days of the example deployment of Pesebre Unido, for the specs of this package. */
-internal object Days {
+/** Sample input for the evaluation of a day, configured as the example deployment Pesebre Unido. */
+internal object SampleDays {
     const val DATE = "2027-12-04"
     val now: Instant = Instant.parse("2027-12-04T18:30:00Z")
     val configuration =
@@ -23,7 +23,7 @@
     private val vms = listOf("entry-1", "entry-2", "entry-3").map(::VmName)
     private val failover = FailoverFigures(DatabaseName("inventory-2"), 5, 2_300, now.minusSeconds(3600).toEpochMilli())
 
-    fun kind(team: String, kind: String, figures: KindFigures): KindEntry =
+    fun kind(team: String, kind: String, figures: KindStatistics): KindEntry =
         KindEntry(KindIdentity(TeamName(team), KindName(kind)), figures)
 
     fun summary(vm: String, kinds: List<KindEntry>, sequence: Long = 1, age: Long = 10): DaySummary =
@@ -35,11 +35,11 @@
             kinds,
         )
 
-    fun served(count: Int, within: Int, fastest: Int = 20, slowest: Int = 220): KindFigures =
-        KindFigures(
+    fun served(count: Int, within: Int, fastest: Int = 20, slowest: Int = 220): KindStatistics =
+        KindStatistics(
             completed = count.toLong(),
             withinTarget = within.toLong(),
-            latencies = LatencyFigures.of(
+            latencies = LatencyHistogram.of(
                 (0 until count).map {
                     (fastest + it * (slowest - fastest) / count).milliseconds
                 },
