--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
@@ -53,7 +53,7 @@
         val identity =
             NodeIdentity(settings.vm, settings.dataCentre, settings.nodeAddress, settings.seedAddresses)
         lateinit var node: ProxyNode
-        val parts = NodeParts(
+        val parts = NodeDependencies(
             store = store,
             memberPorts = ports,
             peers = peers,
