--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
@@ -25,6 +25,12 @@
 
     private fun record(request: CallerRequest, failed: RequestFailure) {
         val confirmedNotRun = failed.failure.reason == FailureReason.ABANDONED
-        if (confirmedNotRun) recorder.recordResolvedAsNotRun(request) else recorder.recordFailure(request, failed.failure)
+        if (confirmedNotRun) {
+            recorder.recordResolvedAsNotRun(
+                request,
+            )
+        } else {
+            recorder.recordFailure(request, failed.failure)
+        }
     }
 }
