--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseGroup.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseGroup.kt
@@ -15,14 +15,14 @@
 import kotlin.time.Duration
 
 /**
- * A stand-in database group in this process: members with terms, logs and asynchronous replication over an embedded
- * SQL engine, and fault switches. The first member starts as primary in term 1; the others follow it and hold the
- * schema from the start.
+ * A stand-in database group in this process: members with terms, logs, fault switches and an embedded SQL engine each,
+ * replicated asynchronously. The first member starts as primary in term 1; the others follow it and have the schema
+ * from the start.
  *
  * Usable directly through [port], or over gRPC through [DatabaseGroupServer].
  *
- * @param clock time of commits, lags and contact ages.
- * @param pause how a member spends its connect and service times.
+ * @param clock clock of commit times, replication lags and the age of the last contact with the primary.
+ * @param pause blocks the calling thread for the connect or service time of a member.
  */
 public class DatabaseGroup(
     private val settings: DatabaseStandinSettings,
@@ -34,10 +34,10 @@
         val faults = FaultSwitches(settings.timing.replicationLag)
         configuration.name to GroupMember(configuration, faults, runtime, ::H2Engine, ::wakeReplicas)
     }
-    private val replication = Replication(members, settings.timing, clock)
+    private val replication = LogReplicator(members, settings.timing, clock)
     private val endpoints = members.mapValues { (_, member) ->
-        val place = member.configuration.dataCentre
-        MemberEndpoint(member, runtime, { vm -> settings.timing.latency(settings.vms[vm], place) }, ::pull)
+        val memberDataCentre = member.configuration.dataCentre
+        MemberEndpoint(member, runtime, { vm -> settings.timing.latency(settings.vms[vm], memberDataCentre) }, ::pull)
     }
     private val workers = members.values.map { member ->
         ReplicationWorker(member.name.value) { replication.pull(member) }
@@ -55,26 +55,26 @@
     /** Names of the members, the first primary first. */
     public val memberNames: List<MemberName> get() = members.keys.toList()
 
-    /** Starts a replication thread for each member. Without it, replicas take over entries in [replicateNow] only. */
+    /** Starts a replication thread for each member. Without it, only [replicateNow] replicates. */
     public fun startReplication() {
-        check(!replicating) { "replication runs already" }
+        check(!replicating) { "replication threads of the database group are already running" }
         replicating = true
         workers.forEach { it.start() }
     }
 
-    /** Lets each replica take over all entries that are visible to it by now, and returns their number. */
+    /** Applies the entries that are visible to each replica now, and returns their number. */
     public fun replicateNow(): Int = members.values.sumOf { replication.pull(it).applied }
 
-    /** Returns the access that a proxy on [vm] has to [member], without a network. */
+    /** Returns the port through which a proxy on [vm] calls [member], without a network. */
     public fun port(vm: VmName, member: MemberName): MemberPort = DirectMemberPort(endpoint(member), vm).port()
 
     /** Sets a fault switch of [member]. */
     public fun set(member: MemberName, fault: MemberFault): Unit = endpoint(member).set(fault)
 
-    /** Returns the report of [member], whatever its faults. */
+    /** Returns the report of [member], regardless of its faults. */
     public fun report(member: MemberName): MemberReport = endpoint(member).member.report()
 
-    /** Ends replication, all connections and the engines. */
+    /** Stops the replication threads, closes all connections and the SQL engines. */
     override fun close() {
         if (replicating) workers.forEach { it.close() }
         endpoints.values.forEach { it.set(MemberFault.Stop) }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseGroupServer.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseGroupServer.kt
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit
 
 /**
- * Serves the members of [group] over gRPC, each on a port of its own.
+ * Serves the members of [group] over gRPC, each on its own port.
  *
- * @param members where each member listens; port 0 takes a free one.
+ * @param members where each member listens; port 0 binds any free port.
  */
 public class DatabaseGroupServer(
     private val group: DatabaseGroup,
@@ -47,8 +47,8 @@
             member.address.substringAfterLast(':').toInt(),
         )
         return NettyServerBuilder.forAddress(address)
-            .addTransportFilter(TransportNumbers(endpoint))
-            .intercept(TransportInterceptor)
+            .addTransportFilter(TransportNumberingFilter(endpoint))
+            .intercept(TransportNumberInterceptor)
             .addService(MemberService(endpoint))
             .maxInboundMessageSize(MAX_MESSAGE_BYTES)
             .permitKeepAliveTime(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
@@ -63,14 +63,14 @@
     }
 }
 
-/** Numbers each network connection, so that a fault switch can silence those that are open. */
-private class TransportNumbers(private val endpoint: MemberEndpoint) : ServerTransportFilter() {
+/** Numbers each network connection, so that [MemberFault.SilenceConnections] can tell the open ones from later ones. */
+private class TransportNumberingFilter(private val endpoint: MemberEndpoint) : ServerTransportFilter() {
     override fun transportReady(attributes: Attributes): Attributes =
         attributes.toBuilder().set(transportAttribute, endpoint.openTransport()).build()
 }
 
 /** Makes the number of a call's network connection available to its handler. */
-private object TransportInterceptor : ServerInterceptor {
+private object TransportNumberInterceptor : ServerInterceptor {
     override fun <Q, R> interceptCall(
         call: ServerCall<Q, R>,
         headers: Metadata,
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseStandinSettings.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DatabaseStandinSettings.kt
@@ -17,8 +17,9 @@
  * @property database the group; its first member is the first primary, in term 1. Port 0 in a member's address takes a
  * free port.
  * @property schema statements that the first primary runs as its first transaction.
- * @property seed seed of what a fault switch leaves to chance.
- * @property vms data centres of VMs; calls between a VM and a member in different ones take the latency each way.
+ * @property seed seed of the random decisions of fault switches.
+ * @property vms data centres of VMs; calls between a VM and a member in different data
+ * centres take the latency each way.
  */
 @Serializable
 public data class DatabaseStandinSettings(
@@ -30,25 +31,25 @@
 ) {
     /** Returns what is wrong with these settings, which came from [file]; empty when they are usable. */
     public fun problems(file: String): List<Problem> {
-        val reporter = SettingsChecks(file)
-        reporter.check("$.database.members", database.members.size, database.members.isNotEmpty(), "name a member")
+        val checks = SettingsChecks(file)
+        checks.check("$.database.members", database.members.size, database.members.isNotEmpty(), "name a member")
         val names = database.members.groupingBy { it.name }.eachCount()
         names.forEach { (name, count) ->
-            reporter.check("$.database.members", name, count == 1, "give each member a name of its own")
+            checks.check("$.database.members", name, count == 1, "give each member a name of its own")
         }
         database.members.forEachIndexed { index, member ->
             val field = "$.database.members[$index]"
-            reporter.check("$field.slots", member.slots, member.slots > 0, "give at least 1")
-            reporter.check("$field.connections", member.connections, member.connections > 0, "give at least 1")
-            reporter.check(
+            checks.check("$field.slots", member.slots, member.slots > 0, "give at least 1")
+            checks.check("$field.connections", member.connections, member.connections > 0, "give at least 1")
+            checks.check(
                 "$field.address",
                 member.address,
                 member.address.isAddress(),
                 "give host:port, port 0 for any",
             )
         }
-        timing.check(reporter)
-        return reporter.problems
+        timing.check(checks)
+        return checks.problems
     }
 }
 
@@ -80,11 +81,11 @@
     internal val slotTimeout: Duration get() = slotTimeoutMillis.milliseconds
     internal val idleTransaction: Duration get() = idleTransactionMillis.milliseconds
 
-    /** One-way latency; an unknown place is next to every other. */
+    /** One-way latency; zero if the data centre of the caller is unknown. */
     internal fun latency(from: DataCentre?, to: DataCentre): Duration =
         if (from == null || from == to) Duration.ZERO else dataCentreLatencyMillis.milliseconds
 
-    internal fun check(reporter: SettingsChecks) {
+    internal fun check(checks: SettingsChecks) {
         val fields = mapOf(
             "connectMillis" to connectMillis,
             "serviceMicros" to serviceMicros,
@@ -94,6 +95,6 @@
             "slotTimeoutMillis" to slotTimeoutMillis,
             "idleTransactionMillis" to idleTransactionMillis,
         )
-        fields.forEach { (name, value) -> reporter.check("$.timing.$name", value, value >= 0, "give 0 or more") }
+        fields.forEach { (name, value) -> checks.check("$.timing.$name", value, value >= 0, "give 0 or more") }
     }
 }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DirectMemberPort.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/DirectMemberPort.kt
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicLong
 import kotlin.time.Duration
 
-/** Calls a [MemberEndpoint] within the process, with the timeouts of a network. */
+/** Calls a [MemberEndpoint] within the process, with the same timeouts as over a network. */
 internal class DirectMemberPort(private val endpoint: MemberEndpoint, private val vm: VmName) {
     private val name = endpoint.member.name
     private val controlTransport = AtomicLong(endpoint.openTransport())
@@ -25,15 +25,25 @@
     fun port(): MemberPort = MemberPort(
         member = name,
         connect = ::connect,
-        report = { timeout -> control(Step.PROBE, timeout) { t, answer -> endpoint.report(vm, t, answer) } },
+        report = { timeout ->
+            controlCall(Step.PROBE, timeout) { transport, answer ->
+                endpoint.report(vm, transport, answer)
+            }
+        },
         acceptTerm = { proposal, timeout ->
-            control(Step.PROMOTE, timeout) { t, answer -> endpoint.acceptTerm(vm, t, proposal, answer) }
+            controlCall(Step.PROMOTE, timeout) { transport, answer ->
+                endpoint.acceptTerm(vm, transport, proposal, answer)
+            }
         },
         promote = { proposal, timeout ->
-            control(Step.PROMOTE, timeout) { t, answer -> endpoint.promote(vm, t, proposal, answer) }
+            controlCall(Step.PROMOTE, timeout) { transport, answer ->
+                endpoint.promote(vm, transport, proposal, answer)
+            }
         },
         follow = { term, primary, timeout ->
-            control(Step.PROMOTE, timeout) { t, answer -> endpoint.follow(vm, t, term, primary, answer) }
+            controlCall(Step.PROMOTE, timeout) { transport, answer ->
+                endpoint.follow(vm, transport, term, primary, answer)
+            }
         },
     )
 
@@ -41,7 +51,7 @@
         val lost = CompletableFuture<String>()
         val opened = CompletableFuture<Either<MemberFailure, MemberSession>>()
         endpoint.connect(vm, endpoint.openTransport(), { lost.complete(it) }) { opened.complete(it) }
-        val session = opened.within(timeout)
+        val session = opened.awaitOrNull(timeout)
         if (session == null) {
             opened.thenAccept { late -> late.onRight(endpoint::close) }
             return MemberFailure.Unreachable(name, Step.CONNECT, "no connection within $timeout").left()
@@ -49,15 +59,15 @@
         return session.map { DirectConnection(endpoint, it, lost) }
     }
 
-    private fun control(
+    private fun controlCall(
         step: Step,
         timeout: Duration,
-        call: (Long, AnswerControl) -> Unit,
+        call: (Long, ControlCallback) -> Unit,
     ): Either<MemberFailure, MemberReport> {
         val transport = controlTransport.get()
         val answer = CompletableFuture<Either<MemberFailure, MemberReport>>()
         call(transport) { answer.complete(it) }
-        answer.within(timeout)?.let { return it }
+        answer.awaitOrNull(timeout)?.let { return it }
         controlTransport.compareAndSet(transport, endpoint.openTransport())
         return MemberFailure.NoAnswer(name, step, "no answer within $timeout").left()
     }
@@ -79,7 +89,8 @@
         val answer = CompletableFuture<Either<MemberFailure, BatchReply>>()
         lost.thenAccept { answer.complete(MemberFailure.NoAnswer(member, step, it).left()) }
         session.submit(batch) { answer.complete(it) }
-        val outcome = answer.within(timeout) ?: MemberFailure.NoAnswer(member, step, "no answer within $timeout").left()
+        val outcome = answer.awaitOrNull(timeout)
+            ?: MemberFailure.NoAnswer(member, step, "no answer within $timeout").left()
         if (outcome is Either.Left && outcome.value is MemberFailure.NoAnswer) close()
         return outcome
     }
@@ -91,7 +102,7 @@
     }
 }
 
-private fun <T> CompletableFuture<T>.within(timeout: Duration): T? = try {
+private fun <T> CompletableFuture<T>.awaitOrNull(timeout: Duration): T? = try {
     get(timeout.inWholeNanoseconds, TimeUnit.NANOSECONDS)
 } catch (_: TimeoutException) {
     null
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/FaultSwitches.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/FaultSwitches.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The fault switches of one member. Its lock is taken last and never held while another is taken. */
+/** The fault switches of one member. Their lock is acquired last: no other lock is acquired while it is held. */
 internal class FaultSwitches(lag: Duration) {
     private var isolatedVms: Set<VmName>? = emptySet()
     private var isolatedFromMembers = false
@@ -40,7 +40,10 @@
         }
     }
 
-    /** Numbers a new transport (one network connection); [MemberFault.SilenceConnections] tells old and new by it. */
+    /**
+     * Returns the number of a new transport (one network connection). [MemberFault.SilenceConnections] affects the
+     * transports numbered before it is set.
+     */
     @Synchronized
     fun nextTransport(): Long = ++lastTransport
 
@@ -51,7 +54,7 @@
     fun silences(transport: Long): Boolean = transport <= silencedThrough
 
     @Synchronized
-    fun takeLostCommitAnswer(): Boolean {
+    fun consumeLostCommitAnswer(): Boolean {
         if (commitAnswersToLose == 0) return false
         commitAnswersToLose--
         return true
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupMember.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupMember.kt
@@ -19,24 +19,24 @@
 import java.util.concurrent.locks.ReentrantLock
 import kotlin.concurrent.withLock
 
-/** An open transaction: its engine session, and the point that its snapshot shows. */
-internal class OpenTransaction(val sql: SqlSession, val point: HistoryPoint) {
+/** An open transaction: its engine session, and the history point of its snapshot. */
+internal class OpenTransaction(val session: SqlSession, val point: HistoryPoint) {
     val changes: MutableList<Statement> = mutableListOf()
     var changedSchema: Boolean = false
     var writing: Boolean = false
 }
 
-/** What a replica tells its primary when it asks for entries. */
+/** State that a replica sends to its primary when it requests log entries. */
 internal class ReplicaState(val term: Term, val primary: MemberName, val spans: List<TermSpan>)
 
-/** Entries that follow the part of the log that replica and primary share. */
+/** Log entries of the primary after [commonPosition], the last position at which its log and the replica's agree. */
 internal class LogPage(val commonPosition: Long, val entries: List<LogEntry>)
 
 /**
- * State of one member: terms, log and engine, which change together.
+ * One member of a database group: its term state, its log and its SQL engine.
  *
- * Lock order: [writeLock], then [slots], then the member's own lock, then the fault switches. A log entry and its
- * effect in the engine appear together under the member's own lock.
+ * Lock order: [writeLock], then [slots], then the member's own lock, then the lock of the fault switches. A log entry
+ * and its effect in the engine become visible together, under the member's own lock.
  */
 internal class GroupMember(
     val configuration: MemberConfiguration,
@@ -58,11 +58,11 @@
 
     fun report(): MemberReport = lock.withLock {
         val contactAge = if (terms.role == MemberRole.PRIMARY) null else runtime.clock.elapsed() - lastContact
-        MemberReport(name, terms.role, terms.acceptedTerm, log.last, contactAge)
+        MemberReport(name, terms.role, terms.acceptedTerm, log.lastPoint, contactAge)
     }
 
     fun acceptTerm(proposal: TermProposal): Either<MemberFailure, MemberReport> =
-        decide {
+        reportAfter {
             terms.accept(proposal).also {
                 if (it ==
                     TermDecision.ACCEPTED
@@ -72,68 +72,74 @@
             }
         }
 
-    fun promote(proposal: TermProposal): Either<MemberFailure, MemberReport> = decide {
+    fun promote(proposal: TermProposal): Either<MemberFailure, MemberReport> = reportAfter {
         terms.promote(proposal).also { if (it == TermDecision.ACCEPTED) append(proposal.term, emptyList()) }
     }
 
     fun follow(term: Term, primary: MemberName): Either<MemberFailure, MemberReport> {
-        if (primary == name) return lock.withLock { if (terms.servesChanges(term)) report().right() else notPrimary() }
-        return decide { terms.follow(term, primary) }
+        if (primary == name) return lock.withLock { if (terms.acceptsChanges(term)) report().right() else notPrimary() }
+        return reportAfter { terms.follow(term, primary) }
     }
 
-    /** Why a batch in [term] may not run, or null. */
+    /** Returns the reason to reject a batch in [term], or null if it may run. */
     fun rejection(term: Term, changes: Boolean, step: Step): MemberFailure? = lock.withLock {
         when {
             terms.acceptedTerm > term -> MemberFailure.LowerTerm(name, step, terms.acceptedTerm)
-            changes && !terms.servesChanges(term) -> MemberFailure.NotPrimary(name, step, terms.acceptedTerm)
+            changes && !terms.acceptsChanges(term) -> MemberFailure.NotPrimary(name, step, terms.acceptedTerm)
             else -> null
         }
     }
 
-    /** Starts a transaction in [session], or in a new one where the engine has been replaced meanwhile. */
+    /** Starts a transaction in [session], or in a new one if the engine has been replaced since. */
     fun begin(session: SqlSession?): Either<SqlFailure, OpenTransaction> = lock.withLock {
         val sql = if (session?.engine === engine) session else engine.open()
-        sql.begin().map { OpenTransaction(sql, log.last) }
+        sql.begin().map { OpenTransaction(sql, log.lastPoint) }
     }
 
-    /** Whether [transaction] still reads the newest data, so that it may start to change them. */
-    fun isCurrent(transaction: OpenTransaction): Boolean = lock.withLock { log.last == transaction.point }
+    /** Whether the snapshot of [transaction] is still the newest, so that the transaction may start to write. */
+    fun isCurrent(transaction: OpenTransaction): Boolean = lock.withLock { log.lastPoint == transaction.point }
 
-    /** Commits [transaction] in [term] while [allowed], and returns its point. */
+    /** Commits [transaction] in [term] if [allowed] holds under the lock, and returns its history point. */
     fun commit(transaction: OpenTransaction, term: Term, allowed: () -> Boolean): Either<MemberFailure, HistoryPoint> =
         lock.withLock {
             val rejected = if (allowed()) rejection(term, transaction.writing, Step.COMMIT) else connectionLost()
             if (rejected != null) return rejected.left()
-            transaction.sql.commit()
+            transaction.session.commit()
                 .mapLeft { MemberFailure.StatementFailed(name, it.sqlState, it.detail) }
                 .map { if (transaction.changes.isEmpty()) transaction.point else append(term, transaction.changes) }
         }
 
-    /** Puts the state of the log back after a rolled-back change of the schema. Needs the write lock. */
-    fun rebuild(): Unit = lock.withLock {
+    /**
+     * Replaces the engine by a new one and replays the log into it, because the engine can't roll back a change of the
+     * schema. The caller holds the write lock.
+     */
+    fun rebuildEngine(): Unit = lock.withLock {
         engine.close()
         engine = createEngine()
         applier = engine.open()
-        log.all.forEach { applyToEngine(it) }
+        log.allEntries.forEach { applyToEngine(it) }
     }
 
     fun replicaState(): ReplicaState? = lock.withLock {
-        terms.followed?.let { ReplicaState(terms.acceptedTerm, it, log.termSpans()) }
+        terms.followedPrimary?.let { ReplicaState(terms.acceptedTerm, it, log.termSpans()) }
     }
 
-    /** Returns the entries that [replica] lacks, or null where this member isn't the primary of its term. */
+    /** Returns the entries that [replica] lacks, or null if this member isn't the primary of that term. */
     fun page(replica: ReplicaState): LogPage? = lock.withLock {
-        if (!terms.servesChanges(replica.term)) return null
+        if (!terms.acceptsChanges(replica.term)) return null
         val common = log.commonPosition(replica.spans)
-        LogPage(common, log.after(common))
+        LogPage(common, log.entriesAfter(common))
     }
 
-    /** Takes over [page] as long as [replica] still describes this member, and tells how many entries were applied. */
-    fun take(replica: ReplicaState, page: LogPage): Int {
+    /**
+     * Applies the entries of [page] while this member is still in the term and follows the primary of [replica].
+     * Returns the number of applied entries; 0 if the write lock isn't free within its timeout.
+     */
+    fun applyPage(replica: ReplicaState, page: LogPage): Int {
         val waitMillis = runtime.timing.lockTimeoutMillis
         if (!writeLock.tryAcquire(waitMillis, TimeUnit.MILLISECONDS)) return 0
         try {
-            if (!prepare(replica, page.commonPosition)) return 0
+            if (!truncateToCommonPosition(replica, page.commonPosition)) return 0
             return page.entries.takeWhile { applyFrom(replica, it) }.size
         } finally {
             writeLock.release()
@@ -145,10 +151,10 @@
 
     override fun close(): Unit = lock.withLock { engine.close() }
 
-    private fun prepare(replica: ReplicaState, commonPosition: Long): Boolean = lock.withLock {
+    private fun truncateToCommonPosition(replica: ReplicaState, commonPosition: Long): Boolean = lock.withLock {
         if (!follows(replica)) return false
         lastContact = runtime.clock.elapsed()
-        if (log.truncateAfter(commonPosition)) rebuild()
+        if (log.truncateAfter(commonPosition)) rebuildEngine()
         true
     }
 
@@ -160,14 +166,14 @@
     }
 
     private fun follows(replica: ReplicaState) =
-        terms.acceptedTerm == replica.term && terms.followed == replica.primary
+        terms.acceptedTerm == replica.term && terms.followedPrimary == replica.primary
 
     private fun applyToEngine(entry: LogEntry) {
         if (entry.changes.isEmpty()) return
         applier.begin()
             .flatMap { runChanges(entry) }
             .flatMap { applier.commit() }
-            .onLeft { error("$name can't apply entry ${entry.point}: ${it.sqlState} ${it.detail}") }
+            .onLeft { error("$name can't apply log entry ${entry.point}: ${it.sqlState} ${it.detail}") }
     }
 
     private fun runChanges(entry: LogEntry): Either<SqlFailure, Unit> {
@@ -176,13 +182,13 @@
     }
 
     private fun append(term: Term, changes: List<Statement>): HistoryPoint {
-        val entry = LogEntry(log.next(term), changes.toList(), runtime.clock.elapsed())
+        val entry = LogEntry(log.nextPoint(term), changes.toList(), runtime.clock.elapsed())
         log.append(entry)
         onAppend()
         return entry.point
     }
 
-    private fun decide(decision: () -> TermDecision): Either<MemberFailure, MemberReport> = lock.withLock {
+    private fun reportAfter(decision: () -> TermDecision): Either<MemberFailure, MemberReport> = lock.withLock {
         when (decision()) {
             TermDecision.ACCEPTED, TermDecision.UNCHANGED -> report().right()
             TermDecision.SUPERSEDED -> MemberFailure.LowerTerm(name, Step.PROMOTE, terms.acceptedTerm).left()
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupRuntime.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupRuntime.kt
@@ -9,32 +9,32 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.Duration
 
-/** Time, threads and chance of one database group. */
+/** Clock, timing, threads and random number generator that the members of one database group share. */
 internal class GroupRuntime(
     val clock: Clock,
     val timing: DatabaseTiming,
     val pause: (Duration) -> Unit,
     seed: Long,
 ) : AutoCloseable {
-    private val threads = ThreadFactory { task -> Thread(task, "standin-database").apply { isDaemon = true } }
-    private val workers = Executors.newCachedThreadPool(threads)
-    private val scheduler = ScheduledThreadPoolExecutor(1, threads).apply { removeOnCancelPolicy = true }
+    private val threadFactory = ThreadFactory { task -> Thread(task, "standin-database").apply { isDaemon = true } }
+    private val workers = Executors.newCachedThreadPool(threadFactory)
+    private val scheduler = ScheduledThreadPoolExecutor(1, threadFactory).apply { removeOnCancelPolicy = true }
     private val random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
 
-    /** Runs [task] on a worker thread; after [close] it is dropped. */
+    /** Runs [task] on a worker thread; drops it after [close]. */
     fun execute(task: () -> Unit) = unlessClosed { workers.execute(task) }
 
     /** Runs [task] on a worker thread after [delay]. */
-    fun later(delay: Duration, task: () -> Unit) = unlessClosed {
+    fun executeAfter(delay: Duration, task: () -> Unit) = unlessClosed {
         scheduler.schedule({ execute(task) }, delay.inWholeNanoseconds, TimeUnit.NANOSECONDS)
     }
 
-    /** Runs [task] after [delay]; at once on this thread where there is none. */
-    fun after(delay: Duration, task: () -> Unit) = if (delay > Duration.ZERO) later(delay, task) else task()
+    /** Runs [task] on a worker thread after [delay], or at once on the calling thread if [delay] is zero. */
+    fun runAfter(delay: Duration, task: () -> Unit) = if (delay > Duration.ZERO) executeAfter(delay, task) else task()
 
-    /** Tosses a coin. */
+    /** Returns a random value, which the seed of the group determines. */
     @Synchronized
-    fun chance(): Boolean = random.nextBoolean()
+    fun randomBoolean(): Boolean = random.nextBoolean()
 
     override fun close() {
         scheduler.shutdownNow()
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/H2Engine.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/H2Engine.kt
@@ -15,18 +15,18 @@
 import java.sql.SQLException
 import java.util.concurrent.atomic.AtomicLong
 
-/** [SqlEngine] on an in-memory H2 database of its own, in PostgreSQL mode. */
+/** [SqlEngine] on a private in-memory H2 database in PostgreSQL mode. */
 internal class H2Engine : SqlEngine {
-    private val source = JdbcDataSource().apply {
-        setURL("jdbc:h2:mem:member-${databases.incrementAndGet()};$OPTIONS")
+    private val dataSource = JdbcDataSource().apply {
+        setURL("jdbc:h2:mem:member-${databaseCount.incrementAndGet()};$OPTIONS")
     }
-    private val keeper = source.connection
+    private val keepAliveConnection = dataSource.connection
 
-    override fun open(): SqlSession = H2Session(this, source.connection)
+    override fun open(): SqlSession = H2Session(this, dataSource.connection)
 
     override fun close() {
         try {
-            keeper.createStatement().use { it.execute("SHUTDOWN IMMEDIATELY") }
+            keepAliveConnection.createStatement().use { it.execute("SHUTDOWN IMMEDIATELY") }
         } catch (_: SQLException) {
             return
         }
@@ -34,7 +34,7 @@
 
     private companion object {
         const val OPTIONS = "MODE=PostgreSQL;DATABASE_TO_LOWER=TRUE;DEFAULT_NULL_ORDERING=HIGH;LOCK_TIMEOUT=1000"
-        val databases = AtomicLong()
+        val databaseCount = AtomicLong()
     }
 }
 
@@ -44,7 +44,7 @@
         connection.transactionIsolation = Constants.TRANSACTION_SNAPSHOT
     }
 
-    override fun begin(): Either<SqlFailure, Unit> = attempt {
+    override fun begin(): Either<SqlFailure, Unit> = catchSqlException {
         connection.createStatement().use { it.execute("SELECT 1") }
     }
 
@@ -53,7 +53,7 @@
             if (readOnly && statementClass != StatementClass.QUERY) {
                 return SqlFailure(SqlStates.READ_ONLY_TRANSACTION, "a read-only batch changes nothing").left()
             }
-            attempt {
+            catchSqlException {
                 connection.prepareStatement(statement.text).use { prepared ->
                     prepared.bind(statement.parameters)
                     val result = if (prepared.execute()) {
@@ -66,18 +66,19 @@
             }
         }
 
-    override fun commit(): Either<SqlFailure, Unit> = attempt { connection.commit() }
+    override fun commit(): Either<SqlFailure, Unit> = catchSqlException { connection.commit() }
 
     override fun rollback() {
-        attempt { connection.rollback() }
+        catchSqlException { connection.rollback() }
     }
 
     override fun close() {
-        attempt { connection.close() }
+        catchSqlException { connection.close() }
     }
 
-    private fun <T> attempt(action: () -> T): Either<SqlFailure, T> = Either.catchOrThrow<SQLException, T>(action)
-        .mapLeft { SqlFailure(it.sqlState ?: SqlStates.INTERNAL_ERROR, it.message.orEmpty()) }
+    private fun <T> catchSqlException(action: () -> T): Either<SqlFailure, T> =
+        Either.catchOrThrow<SQLException, T>(action)
+            .mapLeft { SqlFailure(it.sqlState ?: SqlStates.INTERNAL_ERROR, it.message.orEmpty()) }
 }
 
 private fun PreparedStatement.bind(parameters: List<SqlValue>) = parameters.forEachIndexed { index, value ->
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberEndpoint.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberEndpoint.kt
@@ -12,12 +12,12 @@
 import dev.kumquatknot.core.outcome.Step
 import kotlin.time.Duration
 
-/** Receives the answer to a control call. */
-internal typealias AnswerControl = (Either<MemberFailure, MemberReport>) -> Unit
+/** Receives the result of a control call: the report of the member or its failure. */
+internal typealias ControlCallback = (Either<MemberFailure, MemberReport>) -> Unit
 
 /**
- * What arrives at one member from the network, without a network: connections, control calls and fault switches.
- * A call that a fault swallows is never answered.
+ * Receives the connections, control calls and fault switches of one member, independent of the transport: over gRPC or
+ * within the process. A call that a fault drops is never answered.
  */
 internal class MemberEndpoint(
     val member: GroupMember,
@@ -27,40 +27,44 @@
 ) {
     private val sessions = LinkedHashSet<MemberSession>()
 
-    /** Numbers a new transport. */
+    /** Returns the number of a new transport (one network connection). */
     fun openTransport(): Long = member.faults.nextTransport()
 
-    /** Opens a connection for [vm]; [opened] gets the session or the failure, on a worker thread. */
+    /** Opens a connection for [vm]; [onOpened] receives the session or the failure, on a worker thread. */
     fun connect(
         vm: VmName,
         transport: Long,
         onLost: (String) -> Unit,
-        opened: (Either<MemberFailure, MemberSession>) -> Unit,
-    ) = reach(vm, transport, refused = { opened(refusal(Step.CONNECT).left()) }) {
+        onOpened: (Either<MemberFailure, MemberSession>) -> Unit,
+    ) = deliver(vm, transport, onRefused = { onOpened(notRunning(Step.CONNECT).left()) }) {
         runtime.pause(runtime.timing.connect)
         val outcome = open(vm, transport, onLost)
-        runtime.after(latencyOf(vm)) { opened(outcome) }
+        runtime.runAfter(latencyOf(vm)) { onOpened(outcome) }
     }
 
-    fun report(vm: VmName, transport: Long, answer: AnswerControl) =
-        control(vm, transport, Step.PROBE, answer) { member.report().right() }
+    fun report(vm: VmName, transport: Long, answer: ControlCallback) =
+        controlCall(vm, transport, Step.PROBE, answer) { member.report().right() }
 
-    fun acceptTerm(vm: VmName, transport: Long, proposal: TermProposal, answer: AnswerControl) =
-        control(vm, transport, Step.PROMOTE, answer) { endingSupersededWork { member.acceptTerm(proposal) } }
+    fun acceptTerm(vm: VmName, transport: Long, proposal: TermProposal, answer: ControlCallback) =
+        controlCall(vm, transport, Step.PROMOTE, answer) {
+            abortingSupersededTransactions { member.acceptTerm(proposal) }
+        }
 
-    fun promote(vm: VmName, transport: Long, proposal: TermProposal, answer: AnswerControl) =
-        control(vm, transport, Step.PROMOTE, answer) { member.promote(proposal) }
+    fun promote(vm: VmName, transport: Long, proposal: TermProposal, answer: ControlCallback) =
+        controlCall(vm, transport, Step.PROMOTE, answer) { member.promote(proposal) }
 
-    fun follow(vm: VmName, transport: Long, term: Term, primary: MemberName, answer: AnswerControl) =
-        control(vm, transport, Step.PROMOTE, answer) {
-            endingSupersededWork { member.follow(term, primary) }
+    fun follow(vm: VmName, transport: Long, term: Term, primary: MemberName, answer: ControlCallback) =
+        controlCall(vm, transport, Step.PROMOTE, answer) {
+            abortingSupersededTransactions { member.follow(term, primary) }
                 .onRight { replicate(member) }
                 .map { member.report() }
         }
 
     fun set(fault: MemberFault) {
         member.faults.set(fault)
-        if (fault == MemberFault.Stop) member.withoutCommits { current().forEach { it.lose("the member has stopped") } }
+        if (fault == MemberFault.Stop) member.withoutCommits {
+            openSessions().forEach { it.fail("the member has stopped") }
+        }
     }
 
     /** Releases a connection that its client has closed. */
@@ -71,7 +75,7 @@
 
     private fun open(vm: VmName, transport: Long, onLost: (String) -> Unit): Either<MemberFailure, MemberSession> =
         synchronized(sessions) {
-            if (!member.faults.running) return refusal(Step.CONNECT).left()
+            if (!member.faults.running) return notRunning(Step.CONNECT).left()
             if (sessions.size >= member.configuration.connections) {
                 val detail = "all ${member.configuration.connections} connections are in use"
                 return MemberFailure.TooManyConnections(member.name, detail).left()
@@ -85,37 +89,37 @@
             session.right()
         }
 
-    private fun control(
+    private fun controlCall(
         vm: VmName,
         transport: Long,
         step: Step,
-        answer: AnswerControl,
+        answer: ControlCallback,
         call: () -> Either<MemberFailure, MemberReport>,
-    ) = reach(vm, transport, refused = { answer(refusal(step).left()) }) {
+    ) = deliver(vm, transport, onRefused = { answer(notRunning(step).left()) }) {
         val outcome = call()
-        runtime.after(latencyOf(vm)) { if (member.faults.running && !swallows(vm, transport)) answer(outcome) }
+        runtime.runAfter(latencyOf(vm)) { if (member.faults.running && !drops(vm, transport)) answer(outcome) }
     }
 
-    private fun reach(vm: VmName, transport: Long, refused: () -> Unit, arrived: () -> Unit) {
+    private fun deliver(vm: VmName, transport: Long, onRefused: () -> Unit, onArrival: () -> Unit) {
         when {
-            swallows(vm, transport) -> return
-            !member.faults.running -> refused()
-            else -> runtime.later(latencyOf(vm), arrived)
+            drops(vm, transport) -> return
+            !member.faults.running -> onRefused()
+            else -> runtime.executeAfter(latencyOf(vm), onArrival)
         }
     }
 
-    /** Ends the open transactions of lower terms if [call] makes the member accept a higher one. */
-    private fun endingSupersededWork(
+    /** Aborts the open transactions of lower terms if [call] makes the member accept a higher term. */
+    private fun abortingSupersededTransactions(
         call: () -> Either<MemberFailure, MemberReport>,
     ): Either<MemberFailure, MemberReport> {
         val before = member.report().acceptedTerm
-        return call().onRight { if (it.acceptedTerm > before) current().forEach { session -> session.abort() } }
+        return call().onRight { if (it.acceptedTerm > before) openSessions().forEach { session -> session.abort() } }
     }
 
-    private fun current(): List<MemberSession> = synchronized(sessions) { sessions.toList() }
+    private fun openSessions(): List<MemberSession> = synchronized(sessions) { sessions.toList() }
 
-    private fun swallows(vm: VmName, transport: Long) =
+    private fun drops(vm: VmName, transport: Long) =
         member.faults.isolates(vm) || member.faults.silences(transport)
 
-    private fun refusal(step: Step) = MemberFailure.Unreachable(member.name, step, "the member is not running")
+    private fun notRunning(step: Step) = MemberFailure.Unreachable(member.name, step, "the member is not running")
 }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberFault.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberFault.kt
@@ -4,10 +4,10 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Fault switch of one stand-in member. Each stays as set until it is set anew or [Heal] comes. */
+/** Fault switch of one stand-in member. Each stays in effect until it is set again or [Heal] resets it. */
 @Serializable
 public sealed interface MemberFault {
-    /** Drops everything to and from [vms], or every VM where null: calls get no answer, nothing new arrives. */
+    /** Drops everything to and from [vms], or every VM if null: calls get no answer and new ones do not arrive. */
     @Serializable
     @SerialName("isolate-from-vms")
     public data class IsolateFromVms(val vms: Set<VmName>? = null) : MemberFault
@@ -28,19 +28,19 @@
     public data object Start : MemberFault
 
     /**
-     * Makes the connections that are open now silent for good, while new ones work. A batch sent on one of them gets no
-     * answer; the seed decides whether it runs.
+     * Drops all answers on the connections that are open now, permanently; new connections work. A batch sent on an
+     * affected connection gets no answer; the seed determines whether it runs.
      */
     @Serializable
     @SerialName("silence-connections")
     public data object SilenceConnections : MemberFault
 
-    /** Gives each answer to a batch [millis] milliseconds late. */
+    /** Delays each answer to a batch by [millis] milliseconds. */
     @Serializable
     @SerialName("delay-answers")
     public data class DelayAnswers(val millis: Long) : MemberFault
 
-    /** Loses the answers of the next [count] commits after their effect. */
+    /** Drops the answers to the next [count] commits, which take effect. */
     @Serializable
     @SerialName("lose-commit-answers")
     public data class LoseCommitAnswers(val count: Int = 1) : MemberFault
@@ -55,7 +55,7 @@
     @SerialName("set-replication-lag")
     public data class SetReplicationLag(val millis: Long) : MemberFault
 
-    /** Ends isolation, delay, loss and slowness; a silent connection stays silent, a stopped member stopped. */
+    /** Ends isolation, delay, loss and slowdown. Silenced connections stay silent, a stopped member stays stopped. */
     @Serializable
     @SerialName("heal")
     public data object Heal : MemberFault
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberFaultClient.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberFaultClient.kt
@@ -13,7 +13,7 @@
         .usePlaintext()
         .build()
 
-    /** Sets [fault]; throws [io.grpc.StatusRuntimeException] where the member's process can't be reached. */
+    /** Sets [fault]; throws [io.grpc.StatusRuntimeException] if the member's process can't be reached. */
     public fun set(fault: MemberFault) {
         val request = FaultRequest.newBuilder().setFault(Json.encodeToString<MemberFault>(fault)).build()
         val reply = DatabaseMemberGrpc.newBlockingStub(channel)
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberLog.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberLog.kt
@@ -9,11 +9,11 @@
 /**
  * One entry of a member's log: the changes of one transaction, or none where a term starts.
  *
- * @property committedAt moment of the commit at the primary that wrote it.
+ * @property committedAt clock time of the commit at the primary that wrote it.
  */
 internal class LogEntry(val point: HistoryPoint, val changes: List<Statement>, val committedAt: Duration)
 
-/** The entries of one term in a log, by their first and last position. */
+/** First and last position of the entries of one term in a log. */
 internal data class TermSpan(val term: Term, val first: Long, val last: Long)
 
 /** The log of one member. Positions count from 1 without gaps. Guarded by its member's lock. */
@@ -21,9 +21,9 @@
     private val entries = ArrayList<LogEntry>()
     private val spans = ArrayList<TermSpan>()
 
-    val last: HistoryPoint get() = entries.lastOrNull()?.point ?: HistoryPoint.START
+    val lastPoint: HistoryPoint get() = entries.lastOrNull()?.point ?: HistoryPoint.START
 
-    val all: List<LogEntry> get() = entries
+    val allEntries: List<LogEntry> get() = entries
 
     fun termSpans(): List<TermSpan> = spans.toList()
 
@@ -42,11 +42,11 @@
         }
     }
 
-    fun next(term: Term): HistoryPoint = HistoryPoint(term, LogPosition(entries.size + 1L))
+    fun nextPoint(term: Term): HistoryPoint = HistoryPoint(term, LogPosition(entries.size + 1L))
 
-    fun after(position: Long): List<LogEntry> = entries.subList(position.toInt(), entries.size).toList()
+    fun entriesAfter(position: Long): List<LogEntry> = entries.subList(position.toInt(), entries.size).toList()
 
-    /** Removes the entries after [position] and tells whether there were any. */
+    /** Removes the entries after [position] and returns whether there were any. */
     fun truncateAfter(position: Long): Boolean {
         if (position >= entries.size) return false
         entries.subList(position.toInt(), entries.size).clear()
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberService.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberService.kt
@@ -24,7 +24,7 @@
 import kotlinx.serialization.SerializationException
 import kotlinx.serialization.json.Json
 
-/** The gRPC service of one member. A call that a fault swallows stays open without an answer. */
+/** The gRPC service of one member. A call that a fault drops stays open without an answer. */
 internal class MemberService(private val endpoint: MemberEndpoint) : DatabaseMemberGrpc.DatabaseMemberImplBase() {
     override fun connect(responses: StreamObserver<MemberMessage>): StreamObserver<ClientMessage> {
         responses as ServerCallStreamObserver<MemberMessage>
@@ -65,7 +65,7 @@
     }
 }
 
-/** One database connection: the messages of its stream in both directions. */
+/** One database connection over a bidirectional gRPC stream. */
 private class ConnectionStream(
     private val endpoint: MemberEndpoint,
     private val transport: Long,
@@ -80,11 +80,11 @@
 
     override fun onNext(message: ClientMessage) {
         if (message.hasOpen()) {
-            endpoint.connect(VmName(message.open.vm), transport, ::lost, ::opened)
+            endpoint.connect(VmName(message.open.vm), transport, ::failStream, ::opened)
             return
         }
         val batch = MemberMessages.batch(message.batch)
-        val opened = synchronized(this) { session } ?: return lost("a batch came before the connection was open")
+        val opened = synchronized(this) { session } ?: return failStream("a batch came before the connection was open")
         opened.submit(batch) { outcome ->
             send(MemberMessage.newBuilder().setAnswer(MemberMessages.answer(batch.request, outcome)).build())
         }
@@ -97,12 +97,12 @@
     private fun opened(outcome: Either<MemberFailure, MemberSession>) {
         val message = OpenedMessage.newBuilder()
         outcome.onLeft { message.setFailure(MemberMessages.failure(it)) }
-        outcome.onRight { if (!keep(it)) return endpoint.close(it) }
+        outcome.onRight { if (!attachUnlessEnded(it)) return endpoint.close(it) }
         send(MemberMessage.newBuilder().setOpened(message).build())
     }
 
     @Synchronized
-    private fun keep(opened: MemberSession): Boolean {
+    private fun attachUnlessEnded(opened: MemberSession): Boolean {
         if (!ended) session = opened
         return !ended
     }
@@ -121,7 +121,7 @@
     }
 
     @Synchronized
-    private fun lost(detail: String) {
+    private fun failStream(detail: String) {
         if (ended || responses.isCancelled) return
         ended = true
         responses.onError(Status.UNAVAILABLE.withDescription(detail).asRuntimeException())
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberSession.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberSession.kt
@@ -9,10 +9,13 @@
 import java.util.concurrent.CompletableFuture
 import kotlin.time.Duration
 
-/** Receives the answer to one batch. */
-internal typealias AnswerBatch = (Either<MemberFailure, BatchReply>) -> Unit
+/** Receives the reply to one batch, or its failure. */
+internal typealias BatchCallback = (Either<MemberFailure, BatchReply>) -> Unit
 
-/** The member's end of one connection: runs its batches in order and delivers the answers as the faults allow. */
+/**
+ * Server side of one database connection. Runs its batches one after another and delays or drops their answers as the
+ * fault switches of the member require.
+ */
 internal class MemberSession(
     private val member: GroupMember,
     private val vm: VmName,
@@ -22,55 +25,55 @@
     private val onLost: (String) -> Unit,
 ) {
     private val runner = TransactionRunner(member, runtime) { !closed }
-    private var last: CompletableFuture<Unit> = CompletableFuture.completedFuture(Unit)
-    private var batches = 0L
+    private var lastTask: CompletableFuture<Unit> = CompletableFuture.completedFuture(Unit)
+    private var batchCount = 0L
 
     @Volatile
     private var closed = false
 
-    /** Runs [batch] and gives the answer to [answer], unless a fault swallows one of them. */
-    fun submit(batch: StatementBatch, answer: AnswerBatch) {
+    /** Runs [batch] and passes its result to [answer], unless a fault drops the batch or the answer. */
+    fun submit(batch: StatementBatch, answer: BatchCallback) {
         if (closed || member.faults.isolates(vm)) return
-        if (member.faults.silences(transport) && !runtime.chance()) return
-        runtime.after(latency) { enqueue { if (!closed) runAndAnswer(batch, answer) } }
+        if (member.faults.silences(transport) && !runtime.randomBoolean()) return
+        runtime.runAfter(latency) { enqueue { if (!closed) runAndAnswer(batch, answer) } }
     }
 
-    /** Ends an open transaction that the member can't go on with. */
+    /** Rolls back an open transaction after the member has accepted a higher term. */
     fun abort() = enqueue { runner.abort() }
 
-    /** Closes the connection on the client's wish; an open transaction is rolled back. */
+    /** Closes the connection at the request of the client; an open transaction is rolled back. */
     fun close() {
         closed = true
         enqueue { runner.close() }
     }
 
-    /** Closes the connection because of a failure, which the client notices. */
-    fun lose(detail: String) {
+    /** Closes the connection because of a failure, and reports [detail] to the client. */
+    fun fail(detail: String) {
         if (closed) return
         close()
         onLost(detail)
     }
 
-    private fun runAndAnswer(batch: StatementBatch, answer: AnswerBatch) {
+    private fun runAndAnswer(batch: StatementBatch, answer: BatchCallback) {
         val outcome = runner.run(batch)
-        if (runner.inTransaction) limitIdleTime(++batches) else ++batches
+        if (runner.inTransaction) scheduleIdleTimeout(++batchCount) else ++batchCount
         val committed = batch.end == BatchEnd.COMMIT && !batch.readOnly && outcome.isRight()
-        if (committed && member.faults.takeLostCommitAnswer()) return
-        runtime.after(latency + member.faults.delay) { if (reachesClient()) answer(outcome) }
+        if (committed && member.faults.consumeLostCommitAnswer()) return
+        runtime.runAfter(latency + member.faults.delay) { if (reachesClient()) answer(outcome) }
     }
 
     private fun reachesClient() =
         !closed && member.faults.running && !member.faults.isolates(vm) && !member.faults.silences(transport)
 
-    private fun limitIdleTime(batch: Long) = runtime.later(runtime.timing.idleTransaction) {
-        enqueue { if (batches == batch && runner.inTransaction) lose("the transaction was idle for too long") }
+    private fun scheduleIdleTimeout(batch: Long) = runtime.executeAfter(runtime.timing.idleTransaction) {
+        enqueue { if (batchCount == batch && runner.inTransaction) fail("the transaction was idle for too long") }
     }
 
     @Synchronized
     private fun enqueue(task: () -> Unit) {
-        val previous = last
+        val previous = lastTask
         val next = CompletableFuture<Unit>()
-        last = next
+        lastTask = next
         previous.whenComplete { _, _ ->
             runtime.execute {
                 try {
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/ReplicationWorker.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/ReplicationWorker.kt
@@ -6,25 +6,28 @@
 import kotlin.time.Duration.Companion.microseconds
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Thread that keeps pulling for one replica; woken by [wake], and otherwise in time for the next entry. */
+/**
+ * Thread that pulls log entries for one replica until it is closed. Between pulls it waits for [wake], until the next
+ * entry becomes visible or for the maximum pull interval, whichever comes first.
+ */
 internal class ReplicationWorker(private val name: String, private val pull: () -> PullResult) : AutoCloseable {
-    private val signal = Semaphore(0)
-    private val thread = Thread(::work, "standin-replication-$name").apply { isDaemon = true }
+    private val wakeSignal = Semaphore(0)
+    private val thread = Thread(::pullUntilInterrupted, "standin-replication-$name").apply { isDaemon = true }
 
     fun start() = thread.start()
 
-    fun wake() = signal.release()
+    fun wake() = wakeSignal.release()
 
     override fun close() {
         thread.interrupt()
         thread.join()
     }
 
-    private fun work() {
+    private fun pullUntilInterrupted() {
         try {
             while (!Thread.currentThread().isInterrupted) {
-                val wait = minOf(pull().nextEntryIn ?: contactInterval, contactInterval)
-                waitAtMost(wait.coerceAtLeast(shortestWait))
+                val wait = minOf(pull().nextEntryDelay ?: maximumPullInterval, maximumPullInterval)
+                waitAtMost(wait.coerceAtLeast(minimumWait))
             }
         } catch (_: InterruptedException) {
             return
@@ -32,12 +35,12 @@
     }
 
     private fun waitAtMost(wait: Duration) {
-        signal.tryAcquire(wait.inWholeNanoseconds, TimeUnit.NANOSECONDS)
-        signal.drainPermits()
+        wakeSignal.tryAcquire(wait.inWholeNanoseconds, TimeUnit.NANOSECONDS)
+        wakeSignal.drainPermits()
     }
 
     private companion object {
-        val contactInterval = 50.milliseconds
-        val shortestWait = 200.microseconds
+        val maximumPullInterval = 50.milliseconds
+        val minimumWait = 200.microseconds
     }
 }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/SqlEngine.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/SqlEngine.kt
@@ -4,10 +4,10 @@
 import dev.kumquatknot.core.member.Statement
 import dev.kumquatknot.core.member.StatementResult
 
-/** A statement that the engine refused or that failed in it. */
+/** Failure of a statement, rejected before or during its execution in the engine. */
 internal data class SqlFailure(val sqlState: String, val detail: String)
 
-/** What a statement does. */
+/** Class of a statement by its effect. */
 internal enum class StatementClass {
     QUERY,
     CHANGE,
@@ -16,7 +16,7 @@
     SCHEMA,
 }
 
-/** Result of one statement and what it did. */
+/** Result of one statement and its class. */
 internal data class EngineResult(val result: StatementResult, val statementClass: StatementClass)
 
 /** Embedded SQL engine of one member. */
@@ -29,7 +29,7 @@
     /** The engine that opened this session. */
     val engine: SqlEngine
 
-    /** Starts a transaction and takes its snapshot. */
+    /** Starts a transaction and creates its snapshot. */
     fun begin(): Either<SqlFailure, Unit>
 
     fun run(statement: Statement, readOnly: Boolean): Either<SqlFailure, EngineResult>
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/SqlStates.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/SqlStates.kt
@@ -1,6 +1,6 @@
 package dev.kumquatknot.standin.database
 
-/** SQLSTATE codes that the stand-in gives by itself. */
+/** SQLSTATE codes of failures that the stand-in raises itself rather than its SQL engine. */
 internal object SqlStates {
     const val NOT_SUPPORTED = "0A000"
     const val READ_ONLY_TRANSACTION = "25006"
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/StatementClassifier.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/StatementClassifier.kt
@@ -5,13 +5,13 @@
 import arrow.core.right
 
 /**
- * Tells what a statement does, and refuses what the stand-in can't replicate: replicas run the same statements again,
- * so a statement must give the same result each time, and must not end its transaction by itself.
+ * Classifies statements, and rejects those that the stand-in can't replicate: replicas run the same statements again,
+ * so a statement must be deterministic and must not end its transaction by itself.
  */
 internal object StatementClassifier {
     fun classify(text: String): Either<SqlFailure, StatementClass> {
-        val plain = text.replace(literals, "''").trim().uppercase()
-        val words = plain.split(whitespace, limit = 3)
+        val normalizedText = text.replace(stringLiterals, "''").trim().uppercase()
+        val words = normalizedText.split(whitespace, limit = 3)
         val statementClass = when (words.first()) {
             "SELECT", "VALUES", "TABLE", "EXPLAIN", "WITH" -> StatementClass.QUERY
             "INSERT", "UPDATE", "DELETE", "MERGE" -> StatementClass.CHANGE
@@ -20,9 +20,9 @@
             else -> null
         } ?: return unsupported("statement '${words.first()}' is not supported")
         return when {
-            statementClass == StatementClass.QUERY && changesInQuery.containsMatchIn(plain) ->
+            statementClass == StatementClass.QUERY && changesInQuery.containsMatchIn(normalizedText) ->
                 unsupported("a query that changes data or locks rows is not supported")
-            statementClass != StatementClass.QUERY && varying.containsMatchIn(plain) ->
+            statementClass != StatementClass.QUERY && nonDeterministic.containsMatchIn(normalizedText) ->
                 unsupported(
                     "a change whose result varies from run to run is not supported: pass the value as parameter",
                 )
@@ -32,12 +32,12 @@
 
     private fun unsupported(detail: String) = SqlFailure(SqlStates.NOT_SUPPORTED, detail).left()
 
-    private val literals = Regex("'[^']*'")
+    private val stringLiterals = Regex("'[^']*'")
     private val whitespace = Regex("[\\s(]+")
     private val schemaObjects = setOf("TABLE", "INDEX", "UNIQUE", "VIEW")
     private val changesInQuery =
         Regex("\\b(FINAL|OLD|NEW)\\s+TABLE\\b|\\bFOR\\s+(NO\\s+KEY\\s+)?UPDATE\\b|\\bFOR\\s+SHARE\\b")
-    private val varying = Regex(
+    private val nonDeterministic = Regex(
         "\\b(RAND|RANDOM|SECURE_RAND|RANDOM_UUID|GEN_RANDOM_UUID|UUID|NOW|CLOCK_TIMESTAMP)\\s*\\(" +
             "|\\b(CURRENT_TIMESTAMP|CURRENT_DATE|CURRENT_TIME|LOCALTIME|LOCALTIMESTAMP|NEXTVAL" +
             "|IDENTITY|AUTO_INCREMENT|SERIAL|BIGSERIAL|SMALLSERIAL)\\b",
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TermState.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TermState.kt
@@ -6,7 +6,7 @@
 import dev.kumquatknot.core.member.MemberRole
 import dev.kumquatknot.core.member.TermProposal
 
-/** Answer of a member's term rules to a control call. */
+/** Decision of [TermState] on a control call. */
 internal enum class TermDecision {
     ACCEPTED,
     UNCHANGED,
@@ -18,21 +18,21 @@
     NOT_ACCEPTED,
 }
 
-/** The term rules of one member: what it accepted, from whom, and its role. Guarded by its member's lock. */
+/** Term state of one member: accepted term, its proposer, and the role. Guarded by the member's lock. */
 internal class TermState {
     var acceptedTerm: Term = Term(0)
         private set
     var role: MemberRole = MemberRole.REPLICA
         private set
 
-    /** The primary that this replica pulls from, in [acceptedTerm]; null from the acceptance of a term until follow. */
-    var followed: MemberName? = null
+    /** Primary that this replica pulls from in [acceptedTerm]; null from the acceptance of a term until [follow]. */
+    var followedPrimary: MemberName? = null
         private set
     private var proposer: VmName? = null
 
     fun accept(proposal: TermProposal): TermDecision = when {
         proposal.term > acceptedTerm -> {
-            enter(proposal.term, proposal.proposer)
+            adoptTerm(proposal.term, proposal.proposer)
             TermDecision.ACCEPTED
         }
         proposal.term == acceptedTerm && proposal.proposer == proposer -> TermDecision.UNCHANGED
@@ -41,7 +41,8 @@
 
     fun promote(proposal: TermProposal): TermDecision = when {
         proposal.term > acceptedTerm -> TermDecision.NOT_ACCEPTED
-        proposal.term < acceptedTerm || proposal.proposer != proposer || followed != null -> TermDecision.SUPERSEDED
+        proposal.term < acceptedTerm || proposal.proposer != proposer || followedPrimary != null ->
+            TermDecision.SUPERSEDED
         role == MemberRole.PRIMARY -> TermDecision.UNCHANGED
         else -> {
             role = MemberRole.PRIMARY
@@ -51,22 +52,22 @@
 
     fun follow(term: Term, primary: MemberName): TermDecision = when {
         term < acceptedTerm || (term == acceptedTerm && role == MemberRole.PRIMARY) -> TermDecision.SUPERSEDED
-        term == acceptedTerm && followed == primary -> TermDecision.UNCHANGED
-        term == acceptedTerm && followed != null -> TermDecision.SUPERSEDED
+        term == acceptedTerm && followedPrimary == primary -> TermDecision.UNCHANGED
+        term == acceptedTerm && followedPrimary != null -> TermDecision.SUPERSEDED
         else -> {
-            if (term > acceptedTerm) enter(term, null)
-            followed = primary
+            if (term > acceptedTerm) adoptTerm(term, null)
+            followedPrimary = primary
             TermDecision.ACCEPTED
         }
     }
 
-    /** Tells whether changes in [term] may run and commit here. */
-    fun servesChanges(term: Term): Boolean = role == MemberRole.PRIMARY && term == acceptedTerm
+    /** Whether changes in [term] may run and commit on this member. */
+    fun acceptsChanges(term: Term): Boolean = role == MemberRole.PRIMARY && term == acceptedTerm
 
-    private fun enter(term: Term, by: VmName?) {
+    private fun adoptTerm(term: Term, proposedBy: VmName?) {
         acceptedTerm = term
-        proposer = by
+        proposer = proposedBy
         role = MemberRole.REPLICA
-        followed = null
+        followedPrimary = null
     }
 }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TransactionRunner.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TransactionRunner.kt
@@ -15,7 +15,7 @@
 import dev.kumquatknot.core.outcome.Step
 import java.util.concurrent.TimeUnit
 
-/** Runs the batches of one connection. Used by one thread at a time. */
+/** Runs the batches of one connection and keeps its open transaction. Used by one thread at a time. */
 internal class TransactionRunner(
     private val member: GroupMember,
     private val runtime: GroupRuntime,
@@ -29,17 +29,17 @@
     val inTransaction: Boolean get() = transaction != null
 
     fun run(batch: StatementBatch): Either<MemberFailure, BatchReply> =
-        check(batch).flatMap { occupySlot { runInSlot(batch) } }.onLeft { rollback() }
+        validate(batch).flatMap { withSlot { runInSlot(batch) } }.onLeft { rollback() }
 
     fun rollback() {
         transaction?.let { ended ->
-            ended.sql.rollback()
-            if (ended.changedSchema) member.rebuild()
+            ended.session.rollback()
+            if (ended.changedSchema) member.rebuildEngine()
         }
         endTransaction()
     }
 
-    /** Rolls an open transaction back because the member can't go on with it; the next batch is told. */
+    /** Rolls back an open transaction on behalf of the member; the next batch then fails. */
     fun abort() {
         endedByMember = endedByMember || inTransaction
         rollback()
@@ -50,29 +50,29 @@
         sql?.close()
     }
 
-    private fun check(batch: StatementBatch): Either<MemberFailure, Unit> {
+    private fun validate(batch: StatementBatch): Either<MemberFailure, Unit> {
         val step = if (batch.end == BatchEnd.COMMIT) Step.COMMIT else Step.EXECUTE
         val rejected = member.rejection(batch.term, !batch.readOnly || holdsWriteLock, step)
         val ended = endedByMember.also { endedByMember = false }
         return when {
             rejected != null -> rejected.left()
-            ended -> failed(SqlStates.SERIALIZATION_FAILURE, "the member has ended the transaction").left()
-            !batch.readOnly && !takeWriteLock() ->
-                failed(SqlStates.LOCK_NOT_AVAILABLE, "another transaction holds the write lock").left()
+            ended -> statementFailure(SqlStates.SERIALIZATION_FAILURE, "the member has ended the transaction").left()
+            !batch.readOnly && !acquireWriteLock() ->
+                statementFailure(SqlStates.LOCK_NOT_AVAILABLE, "another transaction holds the write lock").left()
             else -> Unit.right()
         }
     }
 
-    private fun takeWriteLock(): Boolean {
+    private fun acquireWriteLock(): Boolean {
         if (!holdsWriteLock) {
             holdsWriteLock = member.writeLock.tryAcquire(runtime.timing.lockTimeoutMillis, TimeUnit.MILLISECONDS)
         }
         return holdsWriteLock
     }
 
-    private fun <T> occupySlot(action: () -> Either<MemberFailure, T>): Either<MemberFailure, T> {
+    private fun <T> withSlot(action: () -> Either<MemberFailure, T>): Either<MemberFailure, T> {
         if (!member.slots.tryAcquire(runtime.timing.slotTimeoutMillis, TimeUnit.MILLISECONDS)) {
-            return failed(SqlStates.STATEMENT_TIMEOUT, "no slot became free").left()
+            return statementFailure(SqlStates.STATEMENT_TIMEOUT, "no slot became free").left()
         }
         try {
             runtime.pause(runtime.timing.service * member.faults.slownessFactor)
@@ -83,21 +83,21 @@
     }
 
     private fun runInSlot(batch: StatementBatch): Either<MemberFailure, BatchReply> = either {
-        val current = current(batch).bind()
+        val current = currentTransaction(batch).bind()
         val results = batch.statements.map { runStatement(current, it, batch.readOnly).bind() }
-        val point = end(current, batch).bind()
+        val point = endBatch(current, batch).bind()
         BatchReply(batch.request, results, point, member.report().acceptedTerm)
     }
 
-    private fun current(batch: StatementBatch): Either<MemberFailure, OpenTransaction> {
+    private fun currentTransaction(batch: StatementBatch): Either<MemberFailure, OpenTransaction> {
         val open = transaction ?: return member.begin(sql).mapLeft { it.toFailure() }.onRight {
-            sql = it.sql
+            sql = it.session
             it.writing = !batch.readOnly
             transaction = it
         }
         if (!batch.readOnly && !open.writing) {
             if (!member.isCurrent(open)) {
-                return failed(
+                return statementFailure(
                     SqlStates.SERIALIZATION_FAILURE,
                     "the data have changed since the transaction read",
                 ).left()
@@ -114,15 +114,15 @@
     ): Either<MemberFailure, StatementResult> = either {
         val schema = StatementClassifier.classify(statement.text).getOrNull() == StatementClass.SCHEMA
         if (schema && current.changes.isNotEmpty() && !current.changedSchema) {
-            raise(failed(SqlStates.NOT_SUPPORTED, "a change of the schema must come before changes of data"))
+            raise(statementFailure(SqlStates.NOT_SUPPORTED, "a change of the schema must come before changes of data"))
         }
         current.changedSchema = current.changedSchema || (schema && !readOnly)
-        val outcome = current.sql.run(statement, readOnly).mapLeft { it.toFailure() }.bind()
+        val outcome = current.session.run(statement, readOnly).mapLeft { it.toFailure() }.bind()
         if (outcome.statementClass != StatementClass.QUERY) current.changes += statement
         outcome.result
     }
 
-    private fun end(current: OpenTransaction, batch: StatementBatch): Either<MemberFailure, HistoryPoint> =
+    private fun endBatch(current: OpenTransaction, batch: StatementBatch): Either<MemberFailure, HistoryPoint> =
         when (batch.end) {
             BatchEnd.KEEP_OPEN -> current.point.right()
             BatchEnd.COMMIT -> member.commit(current, batch.term, isOpen).onRight { endTransaction() }
@@ -135,7 +135,8 @@
         holdsWriteLock = false
     }
 
-    private fun SqlFailure.toFailure() = failed(sqlState, detail)
+    private fun SqlFailure.toFailure() = statementFailure(sqlState, detail)
 
-    private fun failed(sqlState: String, detail: String) = MemberFailure.StatementFailed(member.name, sqlState, detail)
+    private fun statementFailure(sqlState: String, detail: String) =
+        MemberFailure.StatementFailed(member.name, sqlState, detail)
 }
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/process/StandinProcess.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/process/StandinProcess.kt
@@ -3,9 +3,9 @@
 import java.util.concurrent.CountDownLatch
 
 /**
- * A stand-in that serves until it is closed.
+ * A running stand-in, which serves until it is closed.
  *
- * @property readyLine one line for standard output that tells the addresses at which it serves.
+ * @property readyLine one line for standard output with the addresses at which it serves.
  */
 public class StandinProcess internal constructor(
     public val readyLine: String,
@@ -19,7 +19,7 @@
         ended.await()
     }
 
-    /** Stops serving. */
+    /** Stops the servers and releases [awaitEnd]; further calls do nothing. */
     @Synchronized
     override fun close() {
         if (ended.count == 0L) return
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/process/StandinProcesses.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/process/StandinProcesses.kt
@@ -22,27 +22,27 @@
 import java.nio.file.Path
 import kotlin.io.path.readText
 
-/** Starts the stand-ins from JSON settings files, for the command line. */
+/** Starts the stand-ins from JSON settings files on behalf of the command line. */
 public object StandinProcesses {
     /** Starts the platform with the [PlatformStandinSettings] in [file]. */
     public fun startPlatform(file: Path): Either<NonEmptyList<Problem>, StandinProcess> =
-        read(file, serializer<PlatformStandinSettings>())
+        readSettings(file, serializer<PlatformStandinSettings>())
             .flatMap { it.orProblems(it.problems(file.toString())) }
-            .flatMap { settings -> start(file) { platform(settings) } }
+            .flatMap { settings -> start(file) { servePlatform(settings) } }
 
     /** Starts a database group with the [DatabaseStandinSettings] in [file]. */
     public fun startDatabase(file: Path): Either<NonEmptyList<Problem>, StandinProcess> =
-        read(file, serializer<DatabaseStandinSettings>())
+        readSettings(file, serializer<DatabaseStandinSettings>())
             .flatMap { it.orProblems(it.problems(file.toString())) }
-            .flatMap { settings -> start(file) { database(settings) } }
+            .flatMap { settings -> start(file) { serveDatabase(settings) } }
 
-    private fun platform(settings: PlatformStandinSettings): StandinProcess {
+    private fun servePlatform(settings: PlatformStandinSettings): StandinProcess {
         val server = PlatformServer(PlatformStandin(settings))
         server.start()
         return StandinProcess("platform ready at ${server.address()}", server::close)
     }
 
-    private fun database(settings: DatabaseStandinSettings): StandinProcess {
+    private fun serveDatabase(settings: DatabaseStandinSettings): StandinProcess {
         val group = DatabaseGroup(settings)
         val server = DatabaseGroupServer(group, settings.database.members)
         try {
@@ -60,13 +60,13 @@
         }
     }
 
-    private fun <T> read(file: Path, serializer: KSerializer<T>): Either<NonEmptyList<Problem>, T> = try {
+    private fun <T> readSettings(file: Path, serializer: KSerializer<T>): Either<NonEmptyList<Problem>, T> = try {
         Json.decodeFromString(serializer, file.readText()).right()
     } catch (failure: IOException) {
         problem(file, "the file can't be read: ${failure.javaClass.simpleName}", "give a settings file that exists")
     } catch (failure: SerializationException) {
         val reason = failure.message.orEmpty().lineSequence().first().trimEnd('.')
-        problem(file, reason, "mend the file; docs/operators/standins.md lists the fields")
+        problem(file, reason, "correct the file; docs/operators/standins.md lists the fields")
     }
 
     private fun start(file: Path, action: () -> StandinProcess): Either<NonEmptyList<Problem>, StandinProcess> = try {
@@ -74,7 +74,7 @@
     } catch (failure: IOException) {
         problem(file, "the address can't be used: ${failure.message}", "give a free port, or 0 for any")
     } catch (failure: IllegalArgumentException) {
-        problem(file, failure.message.orEmpty(), "mend the schema")
+        problem(file, failure.message.orEmpty(), "correct the schema")
     }
 
     private fun <T> T.orProblems(problems: List<Problem>): Either<NonEmptyList<Problem>, T> =
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupServerSpec.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupServerSpec.kt
@@ -29,7 +29,7 @@
     private val server = DatabaseGroupServer(group, settings.database.members).apply { start() }
     private val adapter = StandinMembers(vm)
     private val otherAdapter = StandinMembers(otherVm)
-    private val short = 300.milliseconds
+    private val shortTimeout = 300.milliseconds
     private val connections = mutableListOf<MemberConnection>()
 
     @AfterEach
@@ -44,10 +44,8 @@
     private fun port(member: MemberName, from: VmName = vm) =
         (if (from == vm) adapter else otherAdapter).port(server.addresses().single { it.name == member })
 
-    private fun connect(member: MemberName, from: VmName = vm) = port(member, from).connect(patience).onRight {
-        connections +=
-            it
-    }.value()
+    private fun connect(member: MemberName, from: VmName = vm) = port(member, from)
+        .connect(answerTimeout).onRight { connections += it }.value()
 
     @Nested
     inner class `a connection` {
@@ -71,11 +69,11 @@
         }
 
         @Test
-        fun `brings typed failures`() {
+        fun `returns typed failures`() {
             expectThat(connect(b).send(insert(1)).failure()).isA<MemberFailure.NotPrimary>()
             expectThat(connect(a).send(batch(1, "SELECT nothing", readOnly = true)).failure())
                 .isA<MemberFailure.StatementFailed>().get { sqlState }.isEqualTo("42S22")
-            port(a).acceptTerm(TermProposal(Term(2), vm), patience).value()
+            port(a).acceptTerm(TermProposal(Term(2), vm), answerTimeout).value()
             expectThat(connect(a).send(insert(1)).failure()).isEqualTo(
                 MemberFailure.LowerTerm(a, Step.COMMIT, Term(2)),
             )
@@ -84,20 +82,20 @@
         @Test
         fun `is refused beyond the limit and freed by closing`() {
             val open = List(4) { connect(a) }
-            expectThat(port(a).connect(patience).failure()).isA<MemberFailure.TooManyConnections>()
+            expectThat(port(a).connect(answerTimeout).failure()).isA<MemberFailure.TooManyConnections>()
             open.first().close()
-            val deadline = System.nanoTime() + patience.inWholeNanoseconds
-            var again = port(a).connect(patience)
-            while (again.isLeft() && System.nanoTime() < deadline) again = port(a).connect(patience)
-            again.value().close()
+            val deadline = System.nanoTime() + answerTimeout.inWholeNanoseconds
+            var retried = port(a).connect(answerTimeout)
+            while (retried.isLeft() && System.nanoTime() < deadline) retried = port(a).connect(answerTimeout)
+            retried.value().close()
         }
 
         @Test
-        fun `is given up after a late answer, which reaches no later request`() {
-            val untilCommitted = 1.seconds
-            group.set(a, MemberFault.DelayAnswers(2 * untilCommitted.inWholeMilliseconds))
+        fun `is closed after an answer timeout, and the late answer reaches no later request`() {
+            val commitTimeout = 1.seconds
+            group.set(a, MemberFault.DelayAnswers(2 * commitTimeout.inWholeMilliseconds))
             val late = connect(a)
-            expectThat(late.run(insert(1), untilCommitted).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(late.run(insert(1), commitTimeout).failure()).isA<MemberFailure.NoAnswer>()
             group.set(a, MemberFault.Heal)
             expectThat(late.send(insert(2)).failure()).isA<MemberFailure.Unreachable>()
             expectThat(connect(a).ids(1)).containsExactly(1L)
@@ -109,22 +107,22 @@
             connection.send(insert(1, end = BatchEnd.KEEP_OPEN)).value()
             group.set(a, MemberFault.Stop)
             expectThat(connection.send(batch(1)).isLeft()).isEqualTo(true)
-            expectThat(port(a).connect(patience).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(port(a).connect(answerTimeout).failure()).isA<MemberFailure.Unreachable>()
         }
 
         @Test
-        fun `is unreachable where nobody listens`() {
-            val nowhere = server.addresses().first()
+        fun `is unreachable if no server listens at the address`() {
+            val stoppedMember = server.addresses().first()
             server.close()
-            expectThat(adapter.port(nowhere).connect(patience).failure()).isA<MemberFailure.Unreachable>()
-            expectThat(adapter.port(nowhere).report(patience).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(adapter.port(stoppedMember).connect(answerTimeout).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(adapter.port(stoppedMember).report(answerTimeout).failure()).isA<MemberFailure.Unreachable>()
         }
 
         @Test
-        fun `falls silent for good while a new one works`() {
+        fun `stays silent once silenced while a new one works`() {
             val silent = connect(a)
             group.set(a, MemberFault.SilenceConnections)
-            expectThat(silent.run(batch(1, "SELECT 1", readOnly = true), short).failure())
+            expectThat(silent.run(batch(1, "SELECT 1", readOnly = true), shortTimeout).failure())
                 .isA<MemberFailure.NoAnswer>()
             expectThat(connect(a).ids(1)).isEmpty()
         }
@@ -135,40 +133,40 @@
         @Test
         fun `run a failover`() {
             val proposal = TermProposal(Term(2), vm)
-            listOf(b, c).forEach { port(it).acceptTerm(proposal, patience).value() }
-            expectThat(port(b).promote(proposal, patience).value()) {
+            listOf(b, c).forEach { port(it).acceptTerm(proposal, answerTimeout).value() }
+            expectThat(port(b).promote(proposal, answerTimeout).value()) {
                 get { role }.isEqualTo(MemberRole.PRIMARY)
                 get { primaryContactAge }.isEqualTo(null)
             }
-            port(c).follow(Term(2), b, patience).value()
-            expectThat(port(c).report(patience).value()).isEqualTo(group.report(c))
+            port(c).follow(Term(2), b, answerTimeout).value()
+            expectThat(port(c).report(answerTimeout).value()).isEqualTo(group.report(c))
             connect(b).send(insert(1, term = 2)).value()
         }
 
         @Test
-        fun `go over a fresh connection after one without an answer`() {
+        fun `use a new connection after a call without an answer`() {
             val port = port(a)
-            port.report(patience).value()
+            port.report(answerTimeout).value()
             group.set(a, MemberFault.SilenceConnections)
-            expectThat(port.report(short).failure()).isA<MemberFailure.NoAnswer>()
-            port.report(patience).value()
+            expectThat(port.report(shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
+            port.report(answerTimeout).value()
         }
 
         @Test
-        fun `get no answer where the VM is isolated`() {
+        fun `get no answer if the VM is isolated`() {
             group.set(a, MemberFault.IsolateFromVms(setOf(vm)))
-            expectThat(port(a).report(short).failure()).isA<MemberFailure.NoAnswer>()
-            expectThat(port(a).connect(short).failure()).isA<MemberFailure.Unreachable>()
-            port(a, otherVm).report(patience).value()
+            expectThat(port(a).report(shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(port(a).connect(shortTimeout).failure()).isA<MemberFailure.Unreachable>()
+            port(a, otherVm).report(answerTimeout).value()
         }
     }
 
     @Nested
     inner class `the fault call` {
         @Test
-        fun `sets a switch`() {
+        fun `sets a fault switch`() {
             MemberFaultClient(server.addresses().first().address).use { it.set(MemberFault.IsolateFromVms(setOf(vm))) }
-            expectThat(port(a).report(short).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(port(a).report(shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
         }
     }
 }
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupSpec.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupSpec.kt
@@ -41,7 +41,7 @@
 
     private fun port(member: MemberName, from: VmName = vm) = group.port(from, member)
 
-    private fun connect(member: MemberName, from: VmName = vm) = port(member, from).connect(patience).value()
+    private fun connect(member: MemberName, from: VmName = vm) = port(member, from).connect(answerTimeout).value()
 
     private fun replicate() {
         clock.advance(1.seconds)
@@ -51,8 +51,8 @@
     private fun proposal(term: Long, proposer: VmName = vm) = TermProposal(Term(term), proposer)
 
     private fun failOver(to: MemberName, term: Long, accepting: List<MemberName>) {
-        accepting.forEach { port(it).acceptTerm(proposal(term), patience).value() }
-        port(to).promote(proposal(term), patience).value()
+        accepting.forEach { port(it).acceptTerm(proposal(term), answerTimeout).value() }
+        port(to).promote(proposal(term), answerTimeout).value()
     }
 
     @Nested
@@ -71,14 +71,14 @@
         }
 
         @Test
-        fun `answers a commit with the point of its entry`() {
+        fun `returns the history point of its log entry for a commit`() {
             val before = group.report(a).lastEntry.position.value
             val reply = connect(a).send(insert(1)).value()
             expectThat(reply.point).isEqualTo(HistoryPoint(Term(1), LogPosition(before + 1)))
         }
 
         @Test
-        fun `shows an entry at a replica no earlier than commit and lag`() {
+        fun `makes an entry visible at a replica once the lag has passed since the commit`() {
             group.replicateNow()
             replicate()
             connect(a).send(insert(1))
@@ -112,7 +112,7 @@
         }
 
         @Test
-        fun `keeps an open transaction from other connections`() {
+        fun `hides the changes of an open transaction from other connections`() {
             val writer = connect(a)
             val reader = connect(a)
             writer.send(insert(1, end = BatchEnd.KEEP_OPEN)).value()
@@ -122,7 +122,7 @@
         }
 
         @Test
-        fun `fails a change on top of an outdated read`() {
+        fun `fails a change in a transaction whose snapshot is outdated`() {
             val slow = connect(a)
             slow.send(batch(1, "SELECT * FROM costume", readOnly = true, end = BatchEnd.KEEP_OPEN)).value()
             connect(a).send(insert(1)).value()
@@ -131,14 +131,14 @@
         }
 
         @Test
-        fun `refuses a change whose result varies`() {
+        fun `rejects a change that is not deterministic`() {
             val outcome = connect(a).send(batch(1, "INSERT INTO costume VALUES (1, CAST(RANDOM_UUID() AS VARCHAR))"))
             expectThat(outcome.failure()).isA<MemberFailure.StatementFailed>()
                 .get { sqlState }.isEqualTo(SqlStates.NOT_SUPPORTED)
         }
 
         @Test
-        fun `refuses a change in a read-only batch`() {
+        fun `rejects a change in a read-only batch`() {
             val outcome = connect(a).send(batch(1, "DELETE FROM costume", readOnly = true))
             expectThat(outcome.failure()).isA<MemberFailure.StatementFailed>()
                 .get { sqlState }.isEqualTo(SqlStates.READ_ONLY_TRANSACTION)
@@ -163,7 +163,7 @@
         @Test
         fun `accepts no more connections than its limit`() {
             val connections = List(4) { connect(a) }
-            expectThat(port(a).connect(patience).failure()).isA<MemberFailure.TooManyConnections>()
+            expectThat(port(a).connect(answerTimeout).failure()).isA<MemberFailure.TooManyConnections>()
             connections.first().close()
             connect(a)
         }
@@ -173,26 +173,26 @@
     inner class `the term rules` {
         @Test
         fun `let one of two proposers win a term`() {
-            port(b).acceptTerm(proposal(2), patience).value()
-            port(c, otherVm).acceptTerm(proposal(2, otherVm), patience).value()
-            expectThat(port(b, otherVm).acceptTerm(proposal(2, otherVm), patience).failure())
+            port(b).acceptTerm(proposal(2), answerTimeout).value()
+            port(c, otherVm).acceptTerm(proposal(2, otherVm), answerTimeout).value()
+            expectThat(port(b, otherVm).acceptTerm(proposal(2, otherVm), answerTimeout).failure())
                 .isA<MemberFailure.LowerTerm>()
-            expectThat(port(b, otherVm).promote(proposal(2, otherVm), patience).failure())
+            expectThat(port(b, otherVm).promote(proposal(2, otherVm), answerTimeout).failure())
                 .isA<MemberFailure.LowerTerm>()
-            port(b).promote(proposal(2), patience).value()
+            port(b).promote(proposal(2), answerTimeout).value()
         }
 
         @Test
         fun `accept the same proposal again`() {
-            val first = port(b).acceptTerm(proposal(2), patience).value()
-            expectThat(port(b).acceptTerm(proposal(2), patience).value()).isEqualTo(first)
-            val promoted = port(b).promote(proposal(2), patience).value()
-            expectThat(port(b).promote(proposal(2), patience).value()).isEqualTo(promoted)
+            val first = port(b).acceptTerm(proposal(2), answerTimeout).value()
+            expectThat(port(b).acceptTerm(proposal(2), answerTimeout).value()).isEqualTo(first)
+            val promoted = port(b).promote(proposal(2), answerTimeout).value()
+            expectThat(port(b).promote(proposal(2), answerTimeout).value()).isEqualTo(promoted)
         }
 
         @Test
         fun `promote only in a term accepted before`() {
-            expectThat(port(b).promote(proposal(2), patience).failure()).isA<MemberFailure.NotPrimary>()
+            expectThat(port(b).promote(proposal(2), answerTimeout).failure()).isA<MemberFailure.NotPrimary>()
         }
 
         @Test
@@ -210,35 +210,35 @@
         fun `keep a superseded primary from committing an open transaction`() {
             val connection = connect(a)
             connection.send(insert(1, end = BatchEnd.KEEP_OPEN)).value()
-            port(a).acceptTerm(proposal(2), patience).value()
+            port(a).acceptTerm(proposal(2), answerTimeout).value()
             expectThat(connection.send(batch(1)).failure()).isA<MemberFailure.LowerTerm>()
                 .get { acceptedTerm }.isEqualTo(Term(2))
             expectThat(connect(a).ids(2)).isEmpty()
         }
 
         @Test
-        fun `leave open transactions alone when a proposal is repeated`() {
-            port(a).acceptTerm(proposal(2), patience).value()
-            port(a).promote(proposal(2), patience).value()
+        fun `keep open transactions when a proposal is repeated`() {
+            port(a).acceptTerm(proposal(2), answerTimeout).value()
+            port(a).promote(proposal(2), answerTimeout).value()
             val connection = connect(a)
             connection.send(insert(1, term = 2, end = BatchEnd.KEEP_OPEN)).value()
-            port(a).acceptTerm(proposal(2), patience).value()
+            port(a).acceptTerm(proposal(2), answerTimeout).value()
             connection.send(batch(2)).value()
             expectThat(connect(a).ids(2)).containsExactly(1L)
         }
 
         @Test
         fun `reject reads and changes of a lower term`() {
-            port(a).acceptTerm(proposal(2), patience).value()
+            port(a).acceptTerm(proposal(2), answerTimeout).value()
             expectThat(connect(a).send(insert(1)).failure()).isA<MemberFailure.LowerTerm>()
             expectThat(connect(a).send(batch(1, "SELECT 1", readOnly = true)).failure())
                 .isA<MemberFailure.LowerTerm>()
         }
 
         @Test
-        fun `stop a replica from confirming the primary of an older term`() {
+        fun `stop a replica from replicating the primary of a lower term`() {
             replicate()
-            port(b).acceptTerm(proposal(2), patience).value()
+            port(b).acceptTerm(proposal(2), answerTimeout).value()
             val before = group.report(b).lastEntry
             connect(a).send(insert(1)).value()
             replicate()
@@ -249,8 +249,8 @@
         @Test
         fun `reject following in a lower term`() {
             failOver(b, 2, listOf(b, c))
-            expectThat(port(c).follow(Term(1), a, patience).failure()).isA<MemberFailure.LowerTerm>()
-            expectThat(port(b).follow(Term(2), a, patience).failure()).isA<MemberFailure.LowerTerm>()
+            expectThat(port(c).follow(Term(1), a, answerTimeout).failure()).isA<MemberFailure.LowerTerm>()
+            expectThat(port(b).follow(Term(2), a, answerTimeout).failure()).isA<MemberFailure.LowerTerm>()
         }
     }
 
@@ -264,7 +264,7 @@
             connect(a).send(insert(2)).value()
             replicate()
             failOver(b, 2, listOf(b, c))
-            port(c).follow(Term(2), b, patience).value()
+            port(c).follow(Term(2), b, answerTimeout).value()
             connect(b).send(insert(3, term = 2)).value()
             replicate()
             expectThat(connect(c).ids(2)).containsExactly(1L, 3L)
@@ -281,7 +281,7 @@
             failOver(b, 2, listOf(b, c))
             connect(b).send(insert(3, term = 2)).value()
             group.set(a, MemberFault.Heal)
-            expectThat(port(a).follow(Term(2), b, patience).value().role).isEqualTo(MemberRole.REPLICA)
+            expectThat(port(a).follow(Term(2), b, answerTimeout).value().role).isEqualTo(MemberRole.REPLICA)
             expectThat(writer.send(batch(1)).failure()).isA<MemberFailure.LowerTerm>()
             replicate()
             expectThat(connect(a).ids(2)).containsExactly(1L, 3L)
@@ -289,7 +289,7 @@
         }
 
         @Test
-        fun `lets the age of the primary contact grow while the primary is away`() {
+        fun `lets the age of the primary contact grow while the primary is stopped`() {
             replicate()
             expectThat(group.report(b).primaryContactAge).isNotNull().isLessThan(1.milliseconds)
             group.set(a, MemberFault.Stop)
@@ -301,19 +301,19 @@
 
     @Nested
     inner class `the fault switches` {
-        private val short = 100.milliseconds
-        private val untilCommitted = 1.seconds
+        private val shortTimeout = 100.milliseconds
+        private val commitTimeout = 1.seconds
 
         @Test
         fun `isolate a member from some VMs only`() {
             val connection = connect(a)
             group.set(a, MemberFault.IsolateFromVms(setOf(vm)))
-            expectThat(connection.run(insert(1), short).failure()).isA<MemberFailure.NoAnswer>()
-            expectThat(port(a).connect(short).failure()).isA<MemberFailure.Unreachable>()
-            expectThat(port(a).report(short).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(connection.run(insert(1), shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(port(a).connect(shortTimeout).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(port(a).report(shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
             expectThat(connect(a, otherVm).ids(1)).isEmpty()
             group.set(a, MemberFault.Heal)
-            port(a).report(patience).value()
+            port(a).report(answerTimeout).value()
         }
 
         @Test
@@ -322,8 +322,8 @@
             connection.send(insert(1, end = BatchEnd.KEEP_OPEN)).value()
             group.set(a, MemberFault.Stop)
             expectThat(connection.send(batch(1)).failure()).isA<MemberFailure.Unreachable>()
-            expectThat(port(a).connect(patience).failure()).isA<MemberFailure.Unreachable>()
-            expectThat(port(a).report(patience).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(port(a).connect(answerTimeout).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(port(a).report(answerTimeout).failure()).isA<MemberFailure.Unreachable>()
             group.set(a, MemberFault.Start)
             expectThat(connect(a).ids(1)).isEmpty()
         }
@@ -332,37 +332,37 @@
         fun `silence the open connections while new ones work`() {
             val silent = connect(a)
             group.set(a, MemberFault.SilenceConnections)
-            expectThat(silent.run(insert(1), short).failure()).isA<MemberFailure.NoAnswer>()
-            expectThat(silent.run(insert(2), short).failure()).isA<MemberFailure.Unreachable>()
+            expectThat(silent.run(insert(1), shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(silent.run(insert(2), shortTimeout).failure()).isA<MemberFailure.Unreachable>()
             expectThat(connect(a).ids(1).contains(2L)).isEqualTo(false)
         }
 
         @Test
-        fun `give up the silent control connection for a fresh one`() {
+        fun `replace a silenced control connection by a new one`() {
             val port = port(a)
             group.set(a, MemberFault.SilenceConnections)
-            expectThat(port.report(short).failure()).isA<MemberFailure.NoAnswer>()
-            port.report(patience).value()
+            expectThat(port.report(shortTimeout).failure()).isA<MemberFailure.NoAnswer>()
+            port.report(answerTimeout).value()
         }
 
         @Test
         fun `lose the answer of a commit after its effect`() {
             group.set(a, MemberFault.LoseCommitAnswers(1))
-            expectThat(connect(a).run(insert(1), untilCommitted).failure()).isA<MemberFailure.NoAnswer>()
+            expectThat(connect(a).run(insert(1), commitTimeout).failure()).isA<MemberFailure.NoAnswer>()
             expectThat(connect(a).ids(1)).containsExactly(1L)
             connect(a).send(insert(2)).value()
         }
 
         @Test
         fun `delay answers beyond the timeout`() {
-            group.set(a, MemberFault.DelayAnswers(2 * untilCommitted.inWholeMilliseconds))
-            expectThat(connect(a).run(insert(1), untilCommitted).failure()).isA<MemberFailure.NoAnswer>()
+            group.set(a, MemberFault.DelayAnswers(2 * commitTimeout.inWholeMilliseconds))
+            expectThat(connect(a).run(insert(1), commitTimeout).failure()).isA<MemberFailure.NoAnswer>()
             group.set(a, MemberFault.Heal)
             expectThat(connect(a).ids(1)).containsExactly(1L)
         }
 
         @Test
-        fun `keep a replica from the log of an isolated primary`() {
+        fun `stop replication from an isolated primary`() {
             replicate()
             val before = group.report(b).lastEntry
             group.set(a, MemberFault.IsolateFromMembers)
@@ -392,7 +392,7 @@
             var spent = Duration.ZERO
             DatabaseGroup(groupSettings(DatabaseTiming(connectMillis = 0, serviceMicros = 2_000)), clock) { spent = it }
                 .use { slow ->
-                    val connection = slow.port(vm, a).connect(patience).value()
+                    val connection = slow.port(vm, a).connect(answerTimeout).value()
                     slow.set(a, MemberFault.SlowDown(5.0))
                     connection.ids(1)
                 }
@@ -402,11 +402,11 @@
 
     @Nested
     inner class `concurrent transactions` {
-        private val threads = 3
-        private val commitsEach = 40
+        private val threadCount = 3
+        private val commitsPerThread = 40
 
         private fun count(connection: MemberConnection) {
-            repeat(commitsEach) { number ->
+            repeat(commitsPerThread) { number ->
                 do {
                     val read = batch(1, "SELECT id FROM costume WHERE state = 'counter'", readOnly = true)
                     val next = connection.send(read.copy(end = BatchEnd.KEEP_OPEN)).value().results.single()
@@ -418,14 +418,14 @@
         }
 
         @Test
-        fun `lose no update and leave all members alike`() {
+        fun `lose no update and leave all members with the same log`() {
             connect(a).also { it.send(batch(1, "INSERT INTO costume VALUES (0, 'counter')")).value() }.close()
-            val workers = List(threads) { connect(a) }.map { thread { count(it) } }
+            val workers = List(threadCount) { connect(a) }.map { thread { count(it) } }
             workers.forEach { it.join() }
             replicate()
             listOf(a, b, c).forEach { member ->
                 val connection = connect(member)
-                expectThat(connection.ids(1)).containsExactly((threads * commitsEach).toLong())
+                expectThat(connection.ids(1)).containsExactly((threadCount * commitsPerThread).toLong())
                 connection.close()
                 expectThat(group.report(member).lastEntry).isEqualTo(group.report(a).lastEntry)
             }
@@ -435,18 +435,18 @@
     @Nested
     inner class `a VM in another data centre` {
         @Test
-        fun `waits the latency both ways`() {
-            val far = groupSettings(DatabaseTiming(connectMillis = 0, serviceMicros = 0, dataCentreLatencyMillis = 20))
+        fun `has the latency in both directions of a call`() {
+            val farSettings = groupSettings(DatabaseTiming(connectMillis = 0, serviceMicros = 0, dataCentreLatencyMillis = 20))
                 .copy(vms = mapOf(vm to DataCentre("rosario-a"), otherVm to DataCentre("mendoza-a")))
-            DatabaseGroup(far, clock) {}.use { distant ->
-                val connection = distant.port(vm, a).connect(patience).value()
+            DatabaseGroup(farSettings, clock) {}.use { distantGroup ->
+                val connection = distantGroup.port(vm, a).connect(answerTimeout).value()
                 val sentAt = System.nanoTime()
                 connection.send(insert(1)).value()
                 val reportedAt = System.nanoTime()
-                distant.port(vm, a).report(patience).value()
+                distantGroup.port(vm, a).report(answerTimeout).value()
                 expectThat(reportedAt - sentAt).isGreaterThanOrEqualTo(40.milliseconds.inWholeNanoseconds)
                 expectThat(System.nanoTime() - reportedAt).isGreaterThanOrEqualTo(40.milliseconds.inWholeNanoseconds)
-                expectThat(distant.port(otherVm, a).connect(patience).value().ids(1)).containsExactly(1L)
+                expectThat(distantGroup.port(otherVm, a).connect(answerTimeout).value().ids(1)).containsExactly(1L)
             }
         }
     }
@@ -454,11 +454,11 @@
     @Nested
     inner class `replication threads` {
         @Test
-        fun `bring a commit to the replicas by themselves`() {
+        fun `replicate a commit without a call of replicateNow`() {
             DatabaseGroup(groupSettings()).use { running ->
                 running.startReplication()
-                val committed = running.port(vm, a).connect(patience).value().send(insert(1)).value().point
-                val deadline = System.nanoTime() + patience.inWholeNanoseconds
+                val committed = running.port(vm, a).connect(answerTimeout).value().send(insert(1)).value().point
+                val deadline = System.nanoTime() + answerTimeout.inWholeNanoseconds
                 while (!running.report(b).lastEntry.covers(committed) && System.nanoTime() < deadline) Thread.sleep(1)
                 expectThat(running.report(b).lastEntry).isEqualTo(committed)
             }
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/GroupFixture.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/GroupFixture.kt
@@ -23,7 +23,7 @@
 internal val c = MemberName("inventory-1-c")
 internal val vm = VmName("vm-1")
 internal val otherVm = VmName("vm-2")
-internal val patience = 5.seconds
+internal val answerTimeout = 5.seconds
 
 internal fun groupSettings(timing: DatabaseTiming = DatabaseTiming(connectMillis = 0, serviceMicros = 0)) =
     DatabaseStandinSettings(
@@ -46,7 +46,7 @@
 internal fun insert(id: Int, term: Long = 1, end: BatchEnd = BatchEnd.COMMIT) =
     batch(term, "INSERT INTO costume VALUES ($id, 'free')", end = end)
 
-internal fun MemberConnection.send(batch: StatementBatch): Either<MemberFailure, BatchReply> = run(batch, patience)
+internal fun MemberConnection.send(batch: StatementBatch): Either<MemberFailure, BatchReply> = run(batch, answerTimeout)
 
 internal fun MemberConnection.ids(term: Long): List<Long> =
     send(batch(term, "SELECT id FROM costume ORDER BY id", readOnly = true))
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/process/StandinProcessesSpec.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/process/StandinProcessesSpec.kt
@@ -32,7 +32,7 @@
     @Nested
     inner class `the platform` {
         @Test
-        fun `serves at the address in its line`() {
+        fun `serves at the address in its ready line`() {
             StandinProcesses.startPlatform(file("{}")).getOrNull().use { process ->
                 val line = process?.readyLine.orEmpty()
                 expectThat(line).matches(Regex("platform ready at 127\\.0\\.0\\.1:[0-9]+"))
@@ -51,7 +51,7 @@
         }
 
         @Test
-        fun `reports a port that is taken`() {
+        fun `reports a port that is in use`() {
             StandinProcesses.startPlatform(file("{}")).getOrNull().use { process ->
                 val port = process?.readyLine.orEmpty().substringAfterLast(':')
                 expectThat(platformProblems("""{"port":$port}""")).isNotNull()
@@ -63,7 +63,7 @@
     @Nested
     inner class `the database` {
         @Test
-        fun `names the address of each member in its line`() {
+        fun `names the address of each member in its ready line`() {
             StandinProcesses.startDatabase(file(database(member("a"), member("b")))).getOrNull().use { process ->
                 val line = process?.readyLine.orEmpty()
                 expectThat(line).matches(Regex("database courses-1 ready at a=127.0.0.1:[0-9]+ b=127.0.0.1:[0-9]+"))
@@ -72,8 +72,8 @@
 
         @Test
         fun `reports bad settings and starts nothing`() {
-            val twice = StandinProcesses.startDatabase(file(database(member("a"), member("a", "nowhere"))))
-            expectThat(twice.leftOrNull()?.map { it.field }).isNotNull()
+            val duplicate = StandinProcesses.startDatabase(file(database(member("a"), member("a", "nowhere"))))
+            expectThat(duplicate.leftOrNull()?.map { it.field }).isNotNull()
                 .containsExactly("$.database.members", "$.database.members[1].address")
             expectThat(StandinProcesses.startDatabase(file(database())).isLeft()).isEqualTo(true)
         }
