--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupMember.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/GroupMember.kt
@@ -110,8 +110,8 @@
         }
 
     /**
-     * Replaces the engine by a new one and replays the log into it, because the engine can't roll back a change of the
-     * schema. The caller holds the write lock.
+     * Replaces the engine by a new one and replays the log into it: after entries were removed from the log, or a
+     * change of the schema, which the engine commits at once, was rolled back. The caller holds the write lock.
      */
     fun rebuildEngine(): Unit = lock.withLock {
         engine.close()
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberEndpoint.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/MemberEndpoint.kt
@@ -62,9 +62,7 @@
 
     fun set(fault: MemberFault) {
         member.faults.set(fault)
-        if (fault == MemberFault.Stop) member.withoutCommits {
-            openSessions().forEach { it.fail("the member has stopped") }
-        }
+        if (fault == MemberFault.Stop) member.withoutCommits { allOpen().forEach { it.fail("the member has stopped") } }
     }
 
     /** Releases a connection that its client has closed. */
@@ -113,10 +111,10 @@
         call: () -> Either<MemberFailure, MemberReport>,
     ): Either<MemberFailure, MemberReport> {
         val before = member.report().acceptedTerm
-        return call().onRight { if (it.acceptedTerm > before) openSessions().forEach { session -> session.abort() } }
+        return call().onRight { if (it.acceptedTerm > before) allOpen().forEach { session -> session.abort() } }
     }
 
-    private fun openSessions(): List<MemberSession> = synchronized(sessions) { sessions.toList() }
+    private fun allOpen(): List<MemberSession> = synchronized(sessions) { sessions.toList() }
 
     private fun drops(vm: VmName, transport: Long) =
         member.faults.isolates(vm) || member.faults.silences(transport)
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TransactionRunner.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/database/TransactionRunner.kt
@@ -21,7 +21,7 @@
     private val runtime: GroupRuntime,
     private val isOpen: () -> Boolean,
 ) {
-    private var sql: SqlSession? = null
+    private var session: SqlSession? = null
     private var transaction: OpenTransaction? = null
     private var endedByMember = false
     private var holdsWriteLock = false
@@ -47,7 +47,7 @@
 
     fun close() {
         rollback()
-        sql?.close()
+        session?.close()
     }
 
     private fun validate(batch: StatementBatch): Either<MemberFailure, Unit> {
@@ -90,8 +90,8 @@
     }
 
     private fun currentTransaction(batch: StatementBatch): Either<MemberFailure, OpenTransaction> {
-        val open = transaction ?: return member.begin(sql).mapLeft { it.toFailure() }.onRight {
-            sql = it.session
+        val open = transaction ?: return member.begin(session).mapLeft { it.toFailure() }.onRight {
+            session = it.session
             it.writing = !batch.readOnly
             transaction = it
         }
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupSpec.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/database/DatabaseGroupSpec.kt
@@ -436,9 +436,9 @@
     inner class `a VM in another data centre` {
         @Test
         fun `has the latency in both directions of a call`() {
-            val farSettings = groupSettings(DatabaseTiming(connectMillis = 0, serviceMicros = 0, dataCentreLatencyMillis = 20))
+            val far = groupSettings(DatabaseTiming(connectMillis = 0, serviceMicros = 0, dataCentreLatencyMillis = 20))
                 .copy(vms = mapOf(vm to DataCentre("rosario-a"), otherVm to DataCentre("mendoza-a")))
-            DatabaseGroup(farSettings, clock) {}.use { distantGroup ->
+            DatabaseGroup(far, clock) {}.use { distantGroup ->
                 val connection = distantGroup.port(vm, a).connect(answerTimeout).value()
                 val sentAt = System.nanoTime()
                 connection.send(insert(1)).value()
