--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
@@ -82,7 +82,7 @@
     private fun publish(deployment: DemoDeployment, callers: List<DemoCaller>) {
         val recorder = DayRecorder(checker, SystemClock)
         val results = callers.flatMap { it.check().entries }
-        results.forEach { (identity: KindIdentity, figures: CheckFigures) -> recorder.checked(identity, figures) }
+        results.forEach { (identity: KindIdentity, figures: CheckFigures) -> recorder.recordChecks(identity, figures) }
         val store = SummaryStore(deployment.store)
         recorder.summaries().forEach { store.write(it) }
     }
@@ -102,7 +102,7 @@
 
     /** A short day weighs one failover heavily, so that a missed goal is shown but does not count. */
     private fun isKept(report: DayReport): Boolean =
-        report.promises.filter { it.always }.all { it.verdict == Verdict.GOOD || it.verdict == Verdict.NONE }
+        report.promises.filter { it.unconditional }.all { it.verdict == Verdict.GOOD || it.verdict == Verdict.NONE }
 
     private companion object {
         const val CALLERS_PER_TEAM = 2
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlan.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlan.kt
@@ -5,9 +5,9 @@
 import dev.kumquatknot.core.identity.DataCentre
 import dev.kumquatknot.core.identity.MemberName
 import dev.kumquatknot.core.identity.Region
-import dev.kumquatknot.core.routing.GroupFacts
+import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberFacts
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
 import dev.kumquatknot.core.routing.RequestNeeds
 import dev.kumquatknot.core.routing.Route
@@ -68,11 +68,11 @@
         return ReadTarget(member, maxOf(waitForPoint, waitForAge))
     }
 
-    private fun facts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupFacts {
+    private fun facts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupSnapshot {
         val known = groups.group(database.name)
         val gone = leaving()
         val members = database.members.filter { it.name == known.primary || it.lagWithin(known, request) }
-        return GroupFacts(
+        return GroupSnapshot(
             term = known.term,
             primary = known.primary,
             members = members.map { it.toFacts(known, gone, now) },
@@ -85,10 +85,10 @@
         return (known.members[name]?.status?.lag ?: Duration.ZERO) <= maximumAge
     }
 
-    private fun MemberConfiguration.toFacts(known: KnownGroup, gone: Set<MemberName>, now: Duration): MemberFacts {
+    private fun MemberConfiguration.toFacts(known: KnownGroup, gone: Set<MemberName>, now: Duration): MemberSnapshot {
         val seen = known.members[name]
         val failedRecently = seen?.failedAt?.let { now - it < AVOIDANCE } ?: false
-        return MemberFacts(
+        return MemberSnapshot(
             member = name,
             availability = when {
                 name in gone -> MemberAvailability.LEAVING
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
@@ -3,9 +3,9 @@
 import arrow.core.left
 import dev.kumquatknot.core.configuration.DatabaseConfiguration
 import dev.kumquatknot.core.databasegroup.Confirmation
-import dev.kumquatknot.core.databasegroup.ConfirmationLedger
+import dev.kumquatknot.core.databasegroup.ConfirmationTracker
 import dev.kumquatknot.core.databasegroup.CoordinatorRank
-import dev.kumquatknot.core.databasegroup.FreshnessLedger
+import dev.kumquatknot.core.databasegroup.FreshnessTracker
 import dev.kumquatknot.core.databasegroup.GroupCoordinator
 import dev.kumquatknot.core.databasegroup.GroupEffect
 import dev.kumquatknot.core.databasegroup.GroupEvent
@@ -14,8 +14,8 @@
 import dev.kumquatknot.core.databasegroup.LossReason
 import dev.kumquatknot.core.databasegroup.MemberAnswer
 import dev.kumquatknot.core.databasegroup.PrimaryVerdict
-import dev.kumquatknot.core.databasegroup.Standing
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MajorityPrimary
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -38,7 +38,7 @@
 import kotlin.time.Duration
 
 /** Asks other VMs when they last heard a member of a database group. Blocks for a bounded time. */
-public typealias AskVantage = (database: DatabaseName, member: MemberName) -> List<VantageReport>
+public typealias AskVantage = (database: DatabaseName, member: MemberName) -> List<MemberContactReport>
 
 /** Publishes a primary that this VM has promoted, as far as that is possible. Correctness does not rest on it. */
 public typealias PublishPromotion = (view: GroupView, reason: LossReason) -> Unit
@@ -96,8 +96,8 @@
     private val lock = ReentrantLock()
     private val members = ports.members.associateBy { it.member }
     private val listeners = CopyOnWriteArrayList<ViewListener>()
-    private val confirmations = ConfirmationLedger(database.majority, clock, onWaiting = ::wake)
-    private val freshness = FreshnessLedger(database.majority, clock, onWaiting = ::wake)
+    private val confirmations = ConfirmationTracker(database.majority, clock, onWaiting = ::wake)
+    private val freshness = FreshnessTracker(database.majority, clock, onWaiting = ::wake)
     private val coordinator = GroupCoordinator(
         database = database,
         proposer = settings.newProposer(),
@@ -132,7 +132,7 @@
     public fun verdict(): PrimaryVerdict = lock.withLock { coordinator.primaryVerdict }
 
     /** Takes over what another VM knows of the group, where it is newer. */
-    public fun merge(view: GroupView): Unit = step(GroupEvent.ViewHeard(view))
+    public fun merge(view: GroupView): Unit = step(GroupEvent.PeerViewReceived(view))
 
     /** Has [listener] called after each change of term or primary. */
     public fun onView(listener: ViewListener) {
@@ -140,8 +140,8 @@
     }
 
     /** Answers another VM's question when this one last heard [member]. */
-    public fun vantage(member: MemberName): VantageReport =
-        VantageReport(settings.vm, lock.withLock { coordinator.heardAgo(member, clock.elapsed()) })
+    public fun vantage(member: MemberName): MemberContactReport =
+        MemberContactReport(settings.vm, lock.withLock { coordinator.heardAgo(member, clock.elapsed()) })
 
     /**
      * Waits until the write that [primary] committed at [point] is confirmed by a majority of the group, at most until
@@ -158,7 +158,7 @@
      * the clock. A read that the returned primary runs in the returned term, begun at [since] or later, sees every
      * write acknowledged before [since]. Null where that was not seen in time.
      */
-    public fun awaitStanding(since: Duration, deadline: Duration): Standing? = freshness.awaitStanding(since, deadline)
+    public fun awaitStanding(since: Duration, deadline: Duration): MajorityPrimary? = freshness.awaitStanding(since, deadline)
 
     /** Learns from the reply of [member] to a batch that was sent at [sentAt]. */
     public fun observeReply(member: MemberName, sentAt: Duration, reply: BatchReply) {
@@ -211,11 +211,11 @@
     }
 
     private fun askVantage(effect: GroupEffect.AskVantage) {
-        var reports: List<VantageReport> = emptyList()
+        var reports: List<MemberContactReport> = emptyList()
         try {
             reports = ports.askVantage(database.name, effect.primary)
         } finally {
-            step(GroupEvent.VantageAnswered(effect.primary, reports))
+            step(GroupEvent.ContactReportsReceived(effect.primary, reports))
         }
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
@@ -74,7 +74,7 @@
 
     /** Runs one period: ages the view, probes one node and passes on news. */
     fun runPeriod() {
-        apply { it.aged(clock.elapsed()) }
+        apply { it.withTimeoutsApplied(clock.elapsed()) }
         val target = nextTarget() ?: return
         val full = lock.withLock { period++ % FULL_EXCHANGE_PERIODS == 0L }
         if (!exchange(target, message(full, regular = true))) probeIndirectly(target)
@@ -89,11 +89,11 @@
     /** Takes in the platform's list of VMs. Live ones are no news to others, who read the same list. */
     fun listed(list: List<ListedVm>, memberNames: Set<MemberName>) = apply { membership ->
         val change = membership.listed(list, memberNames, clock.elapsed())
-        change.copy(news = change.news.filter { it.condition != VmCondition.LIVE })
+        change.copy(changedRecords = change.changedRecords.filter { it.condition != VmCondition.LIVE })
     }
 
     /** Takes in that a call to [vm] was refused, before the next probe finds out. */
-    fun reportSilent(vm: VmName) = apply { it.silent(vm, clock.elapsed()) }
+    fun reportSilent(vm: VmName) = apply { it.withFailedProbe(vm, clock.elapsed()) }
 
     /** Marks this VM as leaving and tells others at once. */
     fun leave() = apply { it.leave() }
@@ -121,7 +121,7 @@
         val answered = helpers.any { helper ->
             peers.probeIndirectly(helper, target, INDIRECT_TIMEOUT).fold({ false }, { it })
         }
-        if (!answered) apply { it.silent(target.name, clock.elapsed()) }
+        if (!answered) apply { it.withFailedProbe(target.name, clock.elapsed()) }
     }
 
     private fun take(message: GossipMessage) {
@@ -158,13 +158,13 @@
             val previous = membership
             val next = change(previous)
             membership = next.membership
-            next.news.forEach { vmNews.add(it.name, it) }
+            next.changedRecords.forEach { vmNews.add(it.name, it) }
             previous to next
         }
         if (after.membership === before) return
         logChanges(before, after)
         onChange(after.membership)
-        if (after.news.isNotEmpty()) pushNews()
+        if (after.changedRecords.isNotEmpty()) pushNews()
     }
 
     private fun acceptPrimaries(records: List<PrimaryRecord>) {
@@ -207,7 +207,7 @@
         List(minOf(count, candidates.size)) { candidates[random.nextInt(candidates.size)] }.distinct()
     }
 
-    private fun logChanges(before: Membership, after: MembershipChange) = after.news.forEach { record ->
+    private fun logChanges(before: Membership, after: MembershipChange) = after.changedRecords.forEach { record ->
         val event = when (record.condition) {
             VmCondition.FAILED -> Event.PEER_LOST
             VmCondition.LEAVING -> Event.VM_LEAVING
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeParts.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeDependencies.kt
@@ -32,7 +32,7 @@
  * platform does not answer.
  * @property onPromotion called after this node has promoted a primary.
  */
-public class NodeParts(
+public class NodeDependencies(
     public val store: ObjectStore,
     public val memberPorts: MemberPorts,
     public val peers: PeerPort,
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
@@ -53,7 +53,7 @@
         val identity =
             NodeIdentity(settings.vm, settings.dataCentre, settings.nodeAddress, settings.seedAddresses)
         lateinit var node: ProxyNode
-        val parts = NodeParts(
+        val parts = NodeDependencies(
             store = store,
             memberPorts = ports,
             peers = peers,
@@ -63,7 +63,7 @@
             clock = clock,
             workers = settings.workers,
             sessionKeys = Json.encodeToString(SessionKeys.serializer(), keys),
-            onPromotion = { database, term -> recorder.failedOver(database, term, node.gapOf(database)) },
+            onPromotion = { database, term -> recorder.recordFailover(database, term, node.gapOf(database)) },
         )
         node = ProxyNode(identity, parts)
         val summaries = SummaryStore(store)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
@@ -52,7 +52,7 @@
     private val node: ProxyNode,
     private val handle: HandleRequest,
     private val identity: NodeIdentity,
-    private val parts: NodeParts,
+    private val parts: NodeDependencies,
     private val addresses: ListenAddresses,
     keys: SigningKeys,
     pages: OperatorPages,
@@ -65,7 +65,7 @@
             address = addresses.callers.hostString,
             port = addresses.callers.port,
             workers = parts.workers,
-            stopTime = STOP_TIME,
+            stopTimeout = STOP_TIME,
         ),
     ).toServer(callerApi(keys).handler())
     private val operators: Http4kServer = WorkerPoolServer(
@@ -73,7 +73,7 @@
             address = addresses.operators.hostString,
             port = addresses.operators.port,
             workers = OPERATOR_WORKERS,
-            stopTime = OPERATOR_STOP_TIME,
+            stopTimeout = OPERATOR_STOP_TIME,
         ),
     ).toServer(operatorApi(pages).handler())
     private val nodes =
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -9,7 +9,7 @@
 import dev.kumquatknot.core.configuration.MemberConfiguration
 import dev.kumquatknot.core.databasegroup.GroupTiming
 import dev.kumquatknot.core.databasegroup.GroupView
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -45,7 +45,7 @@
 import dev.kumquatknot.proxy.peer.PeerConfiguration
 import dev.kumquatknot.proxy.peer.PeerService
 import dev.kumquatknot.proxy.peer.PrimaryRecord
-import dev.kumquatknot.proxy.peer.Vantage
+import dev.kumquatknot.proxy.peer.MemberObservation
 import dev.kumquatknot.proxy.relay.MemberStatus
 import dev.kumquatknot.proxy.relay.RelayReply
 import dev.kumquatknot.proxy.relay.RelayRequest
@@ -65,7 +65,7 @@
  * One node of the proxy without its servers: it serves callers' requests by [handle] and other nodes by [peerService].
  * It keeps its view of the fleet, the configuration in force, the members that it serves, and their groups' primaries.
  */
-public class ProxyNode(private val identity: NodeIdentity, private val parts: NodeParts) {
+public class ProxyNode(private val identity: NodeIdentity, private val parts: NodeDependencies) {
     private val clock = parts.clock
     private val memberPorts = ConcurrentHashMap<MemberConfiguration, MemberPort>()
     private val threads = NodeThreads(identity.vm.value, parts.workers)
@@ -227,7 +227,7 @@
         ownership = next
         membership.view.records.values
             .filter { it.condition == VmCondition.FAILED }
-            .forEach { parts.peers.forget(it.name) }
+            .forEach { parts.peers.disconnect(it.name) }
         hosts.apply(configuration, next.membersOf(identity.vm))
         parts.metrics.configurationInForce(configuration.number)
     }
@@ -280,14 +280,14 @@
         }
     }
 
-    private fun askVantage(database: DatabaseName, member: MemberName): List<VantageReport> {
+    private fun askVantage(database: DatabaseName, member: MemberName): List<MemberContactReport> {
         val configured = holder.current.database(database) ?: return emptyList()
         val gateways = configured.members.mapNotNull { ownership.gateway(it) }
         val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(OTHER_VANTAGES)
         val asked = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
         return asked.mapNotNull { peer ->
             parts.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
-                .fold({ null }, { VantageReport(peer.name, it.heardAgo) })
+                .fold({ null }, { MemberContactReport(peer.name, it.heardAgo) })
         }
     }
 
@@ -329,12 +329,12 @@
         override fun configuration(known: Long): PeerConfiguration =
             PeerConfiguration(holder.current.takeIf { it.number > known }, parts.sessionKeys)
 
-        override fun vantage(database: DatabaseName, member: MemberName): Vantage {
+        override fun vantage(database: DatabaseName, member: MemberName): MemberObservation {
             val heard = hosts.runner(database)?.vantage(member)?.heardAgo
-            if (heard != null) return Vantage(heard, Term(0))
+            if (heard != null) return MemberObservation(heard, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
-            return Vantage(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
+            return MemberObservation(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
         }
 
         private val Work.isNew: Boolean
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/LocalFleet.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/LocalFleet.kt
@@ -30,7 +30,7 @@
 import dev.kumquatknot.proxy.event.EventLog
 import dev.kumquatknot.proxy.metric.NodeMetrics
 import dev.kumquatknot.proxy.node.NodeIdentity
-import dev.kumquatknot.proxy.node.NodeParts
+import dev.kumquatknot.proxy.node.NodeDependencies
 import dev.kumquatknot.proxy.node.ProxyNode
 import dev.kumquatknot.standin.database.DatabaseGroup
 import dev.kumquatknot.standin.database.DatabaseStandinSettings
@@ -126,7 +126,7 @@
     }
 
     private fun newNode(vm: ListedVm, seed: Long): ProxyNode {
-        val parts = NodeParts(
+        val parts = NodeDependencies(
             store = store,
             memberPorts = { group.port(vm.name, it.name) },
             peers = network.portOf(vm.name),
