--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/CommandLine.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/CommandLine.kt
@@ -19,31 +19,31 @@
 import kotlinx.cli.ExperimentalCli
 import java.net.URI
 
-/** Connects to the platform's object API at an address of host and port. */
+/** Returns a client of the platform's object API at [address], which is `host:port`. */
 public typealias ConnectPlatform = (address: String) -> ObjectStore
 
 /**
- * The command line of the program.
+ * Parses the arguments of the program and runs the command that they name.
  *
- * @param connect connects to the platform.
+ * @param connect creates the client of the platform's object API.
  */
 @OptIn(ExperimentalCli::class)
 public class CommandLine(
     private val console: Console,
     private val connect: ConnectPlatform = { HttpObjectStore(URI("http://$it")) },
 ) {
-    /** Runs the command in [arguments]. */
+    /** Runs the command in [arguments]; without a command it prints the help. */
     public fun run(arguments: List<String>): ExitCode {
         val commands = commands()
-        val first = arguments.firstOrNull()
+        val commandName = arguments.firstOrNull()
         return when {
-            first == null || first in helpWords -> {
+            commandName == null || commandName in helpArguments -> {
                 console.out(HelpText.overview)
                 ExitCode.OK
             }
 
-            commands.none { it.name == first } -> {
-                console.fail("parse, local: there is no command \"$first\"; `kumquatknot help` lists all")
+            commands.none { it.name == commandName } -> {
+                console.reportError("parse, local: unknown command \"$commandName\"; see `kumquatknot help`")
                 ExitCode.USAGE
             }
 
@@ -52,29 +52,29 @@
     }
 
     private fun parse(arguments: List<String>, commands: List<Command>): ExitCode {
-        val parser = ArgParser(PROGRAM, strictSubcommandOptionsOrder = true)
+        val parser = ArgParser(PROGRAM_NAME, strictSubcommandOptionsOrder = true)
         commands.forEach { parser.subcommands(it) }
-        (commands + commands.flatMap { it.children } + parser).forEach(ParserTermination::throwInstead)
+        (commands + commands.flatMap { it.children } + parser).forEach(ParserTermination::throwOnTermination)
         return try {
             parser.parse(arguments.toTypedArray())
-            val run = commands.flatMap { listOf(it) + it.children }.firstOrNull { it.exitCode != null }
-            run?.exitCode ?: missingSubcommand(arguments.first())
-        } catch (end: ParserTermination.Requested) {
-            finish(end)
+            val executed = commands.flatMap { listOf(it) + it.children }.firstOrNull { it.exitCode != null }
+            executed?.exitCode ?: reportMissingSubcommand(arguments.first())
+        } catch (termination: ParserTermination.TerminationException) {
+            reportTermination(termination)
         }
     }
 
-    private fun finish(end: ParserTermination.Requested): ExitCode =
-        if (end.isError) {
-            console.fail("parse, local: ${end.text.trim()}")
+    private fun reportTermination(termination: ParserTermination.TerminationException): ExitCode =
+        if (termination.isError) {
+            console.reportError("parse, local: ${termination.text.trim()}")
             ExitCode.USAGE
         } else {
-            console.out(end.text.trim())
+            console.out(termination.text.trim())
             ExitCode.OK
         }
 
-    private fun missingSubcommand(name: String): ExitCode {
-        console.fail("parse, local: `kumquatknot $name` needs a subcommand; `kumquatknot $name --help` lists them")
+    private fun reportMissingSubcommand(name: String): ExitCode {
+        console.reportError("parse, local: `kumquatknot $name` requires a subcommand; see `kumquatknot $name --help`")
         return ExitCode.USAGE
     }
 
@@ -95,7 +95,7 @@
         )
 
     private companion object {
-        const val PROGRAM = "kumquatknot"
-        val helpWords = setOf("help", "--help", "-h")
+        const val PROGRAM_NAME = "kumquatknot"
+        val helpArguments = setOf("help", "--help", "-h")
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/Console.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/Console.kt
@@ -2,13 +2,11 @@
 
 import dev.kumquatknot.operations.document.Problem
 
-/**
- * Where commands write to: results to [out] and everything else to [error], line by line.
- */
+/** Output of the commands, line by line: results go to [out], errors to [error]. */
 public class Console(public val out: (String) -> Unit, private val error: (String) -> Unit) {
-    /** Reports a failure that names its step and peer. */
-    public fun fail(detail: String): Unit = error("kumquatknot: $detail")
+    /** Writes an error message; [detail] starts with the step that failed and its peer, such as "parse, local: ". */
+    public fun reportError(detail: String): Unit = error("kumquatknot: $detail")
 
-    /** Reports each of [problems]. */
-    public fun fail(problems: List<Problem>): Unit = problems.forEach { fail(it.toString()) }
+    /** Writes one error message for each of [problems]. */
+    public fun reportError(problems: List<Problem>): Unit = problems.forEach { reportError(it.toString()) }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/ExitCode.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/ExitCode.kt
@@ -1,22 +1,22 @@
 package dev.kumquatknot.app
 
-/** Exit code of the program. */
+/** Exit code of the program; [number] is the status that the process returns. */
 public enum class ExitCode(public val number: Int) {
-    /** The command did what it was asked. */
+    /** The command succeeded. */
     OK(0),
 
-    /** The operation failed and changed nothing, or a promise was broken. */
+    /** The operation failed and changed nothing, or a promise of the service was broken. */
     FAILED(1),
 
-    /** The command line is wrong. */
+    /** The arguments are invalid. */
     USAGE(2),
 
-    /** The figures do not allow a verdict on today. */
+    /** The figures of the day are not sufficient for a verdict. */
     UNDECIDED(3),
 
-    /** A file holds wrong data. */
+    /** An input file is missing, unreadable or invalid. */
     BAD_DATA(65),
 
-    /** The platform did not answer; try again later. */
+    /** The platform did not answer or refused; the command can be retried later. */
     UNAVAILABLE(75),
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/AnswerLoading.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/AnswerLoading.kt
@@ -6,11 +6,11 @@
 import dev.kumquatknot.operations.questionnaire.Answers
 import java.nio.file.Path
 
-/** Reads the answers in [folder] and passes them to [use], or reports their problems. */
+/** Reads the questionnaire answers in [folder] and passes them to [use]; reports the problems of invalid answers. */
 internal fun Console.withAnswers(folder: String, use: (Answers) -> ExitCode): ExitCode =
     AnswerFolder(Path.of(folder)).read().fold(
         { problems ->
-            fail(problems)
+            reportError(problems)
             ExitCode.BAD_DATA
         },
         use,
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ApplyCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ApplyCommand.kt
@@ -15,17 +15,17 @@
 import kotlinx.cli.default
 import kotlinx.cli.required
 
-/** Puts the configuration that follows from a folder with answers into the platform's object API. */
+/** Generates the configuration from a folder with answers and stores it through the platform's object API. */
 internal class ApplyCommand(private val console: Console, private val connect: ConnectPlatform) :
-    Command("apply", "Put the configuration into the platform's object API") {
+    Command("apply", "Store the configuration through the platform's object API") {
     private val folder by argument(ArgType.String, "answers", "Folder with fleet.json and teams/")
     private val platform by option(ArgType.String, "platform", "p", "Address of the platform's object API").required()
-    private val dryRun by option(ArgType.Boolean, "dry-run", description = "Only show what would change").default(false)
-    private val confirm by option(ArgType.Boolean, "confirm", description = "Make dangerous changes").default(false)
-    private val expect by option(
+    private val dryRun by option(ArgType.Boolean, "dry-run", description = "Only list the changes").default(false)
+    private val confirm by option(ArgType.Boolean, "confirm", description = "Apply dangerous changes").default(false)
+    private val expectedNumber by option(
         ArgType.Int,
         "expect",
-        description = "Number that the configuration in force must have",
+        description = "Required number of the configuration in force",
     )
 
     override fun run(): ExitCode =
@@ -36,24 +36,24 @@
         }
 
     private fun preview(store: ObjectStore, desired: FleetConfiguration): ExitCode =
-        ConfigurationApplier(store).preview(desired).fold(::report) { update ->
-            show(update, "would become")
+        ConfigurationApplier(store).preview(desired).fold(::reportFailure) { update ->
+            printUpdate(update, "would become")
             update.changes.mapNotNull { it.danger }.distinct().forEach { console.out("  needs --confirm: $it") }
             ExitCode.OK
         }
 
     private fun apply(store: ObjectStore, desired: FleetConfiguration): ExitCode {
         val keys = SessionKeyStore(store).ensure()
-        keys.onLeft { console.fail(it.detail) }
+        keys.onLeft { console.reportError(it.detail) }
         if (keys.isLeft()) return ExitCode.UNAVAILABLE
-        val options = ApplyOptions(expect?.toLong(), confirm)
-        return ConfigurationApplier(store).apply(desired, options).fold(::report) { update ->
-            show(update, "is")
+        val options = ApplyOptions(expectedNumber?.toLong(), confirm)
+        return ConfigurationApplier(store).apply(desired, options).fold(::reportFailure) { update ->
+            printUpdate(update, "is")
             ExitCode.OK
         }
     }
 
-    private fun show(update: ConfigurationUpdate, verb: String) {
+    private fun printUpdate(update: ConfigurationUpdate, verb: String) {
         if (update.changes.isEmpty()) {
             console.out("configuration ${update.number} is in force and has this content already")
         } else {
@@ -62,8 +62,8 @@
         }
     }
 
-    private fun report(failure: ApplyFailure): ExitCode {
-        console.fail(failure.detail)
+    private fun reportFailure(failure: ApplyFailure): ExitCode {
+        console.reportError(failure.detail)
         return when (failure) {
             is ApplyFailure.Unavailable, is ApplyFailure.Unknown -> ExitCode.UNAVAILABLE
             is ApplyFailure.TooLarge -> ExitCode.BAD_DATA
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ClassPreloader.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ClassPreloader.kt
@@ -4,11 +4,11 @@
 import java.util.jar.JarFile
 
 /**
- * Loads the classes that a node uses once it serves, so that a class-data archive holds them. Without that a node that
- * has just started reads them from the program's file while its first callers wait.
+ * Loads the classes that a node needs to serve requests, so that the class-data sharing archive includes them.
+ * Otherwise a freshly started node loads them from the JAR file while its first callers wait.
  */
 internal object ClassPreloader {
-    private val prefixes = listOf(
+    private val classPathPrefixes = listOf(
         "dev/kumquatknot/core/",
         "dev/kumquatknot/platform/",
         "dev/kumquatknot/proxy/interactive/",
@@ -33,18 +33,18 @@
         "com/fasterxml/jackson/core/",
     )
 
-    /** Loads what can be loaded from the program's own file and returns the number of classes. */
+    /** Loads the matching classes of the program's own JAR file and returns the number of those that loaded. */
     fun load(): Int {
         val location = ClassPreloader::class.java.protectionDomain.codeSource.location
         return JarFile(Path.of(location.toURI()).toFile()).use { jar ->
             jar.entries().asSequence()
                 .map { it.name }
-                .filter { name -> name.endsWith(".class") && prefixes.any { name.startsWith(it) } }
+                .filter { name -> name.endsWith(".class") && classPathPrefixes.any { name.startsWith(it) } }
                 .count { loadClass(it.removeSuffix(".class").replace('/', '.')) }
         }
     }
 
-    /** Optional parts of libraries refer to classes that are not there; those are left out. */
+    /** Returns false where a class cannot be loaded: optional parts of libraries refer to classes that are missing. */
     private fun loadClass(name: String): Boolean = try {
         Class.forName(name, false, ClassPreloader::class.java.classLoader)
         true
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/Command.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/Command.kt
@@ -4,16 +4,16 @@
 import kotlinx.cli.ExperimentalCli
 import kotlinx.cli.Subcommand
 
-/** One command of the program. [exitCode] is null until it has run. */
+/** One command of the program. [exitCode] is null until the command has run. */
 @OptIn(ExperimentalCli::class)
 internal abstract class Command(name: String, description: String) : Subcommand(name, description) {
     var exitCode: ExitCode? = null
         private set
 
-    /** Commands below this one. */
+    /** The subcommands of this command. */
     open val children: List<Command> = emptyList()
 
-    /** Does the command's work. */
+    /** Executes the command and returns its exit code. */
     protected abstract fun run(): ExitCode
 
     override fun execute() {
@@ -21,13 +21,13 @@
     }
 }
 
-/** A command that only groups its [children]. */
+/** A command that only holds [children] and cannot run itself. */
 @OptIn(ExperimentalCli::class)
 internal abstract class CommandGroup(name: String, description: String) : Command(name, description) {
     override fun run(): ExitCode = ExitCode.USAGE
 
-    protected fun group(vararg members: Command): List<Command> {
-        subcommands(*members)
-        return members.toList()
+    protected fun registerSubcommands(vararg commands: Command): List<Command> {
+        subcommands(*commands)
+        return commands.toList()
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/DemoCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/DemoCommand.kt
@@ -8,18 +8,19 @@
 import kotlinx.cli.default
 import kotlin.time.Duration.Companion.seconds
 
-/** Shows the whole path in one process. */
-internal class DemoCommand(private val console: Console) : Command("demo", "Show the whole path in one process") {
+/** Runs the demo, with logging reduced to errors unless the environment sets a level. */
+internal class DemoCommand(private val console: Console) :
+    Command("demo", "Run the example deployments in one process") {
     private val defaults = DemoSettings()
-    private val stay by option(ArgType.Int, "stay", description = "Seconds for which the pages stay at the end")
-        .default(defaults.stay.inWholeSeconds.toInt())
+    private val staySeconds by option(ArgType.Int, "stay", description = "Seconds to serve the pages at the end")
+        .default(defaults.pageServingTime.inWholeSeconds.toInt())
 
     override fun run(): ExitCode {
-        if (System.getenv(LOG_LEVEL) == null) System.setProperty(LOG_LEVEL, "ERROR")
-        return Demo(defaults.copy(stay = stay.coerceAtLeast(0).seconds), console).run()
+        if (System.getenv(LOG_LEVEL_VARIABLE) == null) System.setProperty(LOG_LEVEL_VARIABLE, "ERROR")
+        return Demo(defaults.copy(pageServingTime = staySeconds.coerceAtLeast(0).seconds), console).run()
     }
 
     private companion object {
-        const val LOG_LEVEL = "KUMQUATKNOT_LOG_LEVEL"
+        const val LOG_LEVEL_VARIABLE = "KUMQUATKNOT_LOG_LEVEL"
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
@@ -10,27 +10,29 @@
 import java.io.File
 import java.io.IOException
 
-/** Tells from the logs of several VMs what happened to one request, and what was believed at the time. */
+/** Prints from the logs of several VMs what happened to one request and what the VMs had observed at the time. */
 internal class ExplainCommand(private val console: Console) :
-    Command("explain", "Tell from the nodes' logs what happened to one request") {
-    private val request by argument(ArgType.String, "request", "Id of the request")
-    private val files by argument(ArgType.String, "logs", "Log files, one a VM").vararg()
+    Command("explain", "Show from the nodes' logs what happened to one request") {
+    private val requestId by argument(ArgType.String, "request", "Id of the request")
+    private val logFiles by argument(ArgType.String, "logs", "Log files, one a VM").vararg()
 
     override fun run(): ExitCode {
-        val logs = files.flatMap { file -> read(file) ?: return ExitCode.BAD_DATA }
-        val story = RequestStory.of(request, logs)
-        if (story == null) {
-            console.fail("search, local: no line of ${files.size} logs with ${logs.size} events names request $request")
+        val logs = logFiles.flatMap { file -> readLog(file) ?: return ExitCode.BAD_DATA }
+        val explanation = RequestStory.of(requestId, logs)
+        if (explanation == null) {
+            console.reportError(
+                "search, local: no line of ${logFiles.size} logs with ${logs.size} events names request $requestId",
+            )
             return ExitCode.FAILED
         }
-        story.lines.forEach { console.out(describe(it)) }
+        explanation.lines.forEach { console.out(describe(it)) }
         return ExitCode.OK
     }
 
-    private fun read(file: String): List<LogLine>? = try {
+    private fun readLog(file: String): List<LogLine>? = try {
         File(file).useLines { lines -> lines.mapNotNull { LogLine.parse(file, it) }.toList() }
     } catch (failure: IOException) {
-        console.fail("read, local: $file cannot be read: ${failure.message}")
+        console.reportError("read, local: $file cannot be read: ${failure.message}")
         null
     }
 
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
@@ -11,46 +11,46 @@
 import java.util.concurrent.CountDownLatch
 import java.util.concurrent.TimeUnit
 
-/** Runs one node on the users' platform, whose settings file the environment names. */
+/** Runs one node on the users' platform; an environment variable holds the path of its settings file. */
 internal class NodeCommand(
     private val console: Console,
     private val environment: (String) -> String? = System::getenv,
 ) : Command("node", "Run one node on the users' platform until the process is ended") {
-    private val exitAfter by option(ArgType.Int, "exit-after", description = "end after so many seconds, for trials")
+    private val exitAfterSeconds by option(ArgType.Int, "exit-after", description = "seconds until the end, for trials")
 
     private val preload by option(
         ArgType.Boolean,
         "preload",
-        description = "load all classes, for the class-data archive",
+        description = "load all classes, to create the class-data archive",
     )
         .default(false)
 
     override fun run(): ExitCode =
-        read().fold(
+        readSettings().fold(
             { problem ->
-                console.fail("settings, local: $problem")
+                console.reportError("settings, local: $problem")
                 ExitCode.BAD_DATA
             },
             ::serve,
         )
 
-    private fun read(): Either<String, PlatformSettings> =
+    private fun readSettings(): Either<String, PlatformSettings> =
         PlatformSettings.read(Path.of(environment(PlatformSettings.PATH_VARIABLE) ?: PlatformSettings.DEFAULT_PATH))
 
     private fun serve(settings: PlatformSettings): ExitCode {
         if (preload) console.out("${ClassPreloader.load()} classes are loaded")
         val node = PlatformNode(settings)
-        val ended = CountDownLatch(1)
+        val stopped = CountDownLatch(1)
         Runtime.getRuntime().addShutdownHook(
             Thread {
                 node.stop()
-                ended.countDown()
+                stopped.countDown()
             },
         )
-        ReloadSignal.install { node.reload(read()) }
+        ReloadSignal.install { node.reload(readSettings()) }
         node.start()
-        val limit = exitAfter
-        if (limit == null) ended.await() else ended.await(limit.toLong(), TimeUnit.SECONDS)
+        val limitSeconds = exitAfterSeconds
+        if (limitSeconds == null) stopped.await() else stopped.await(limitSeconds.toLong(), TimeUnit.SECONDS)
         return ExitCode.OK
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ProxyCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ProxyCommand.kt
@@ -10,16 +10,16 @@
 import java.nio.file.Path
 import java.util.concurrent.CountDownLatch
 
-/** Runs one node until the process is ended, which it does gracefully. */
+/** Runs one node until the process is ended; the shutdown hook then stops the node gracefully. */
 internal class ProxyCommand(
     private val console: Console,
 ) : Command("proxy", "Run one node until the process is ended") {
-    private val settings by argument(ArgType.String, "settings", "JSON file with the settings of the node")
+    private val settingsFile by argument(ArgType.String, "settings", "JSON file with the settings of the node")
 
     override fun run(): ExitCode =
-        NodeSettingsReader.read(Path.of(settings)).fold(
+        NodeSettingsReader.read(Path.of(settingsFile)).fold(
             { problems ->
-                console.fail(problems)
+                console.reportError(problems)
                 ExitCode.BAD_DATA
             },
             ::launch,
@@ -28,7 +28,7 @@
     private fun launch(settings: NodeSettings): ExitCode =
         NodeLauncher().build(settings).fold(
             { failure ->
-                console.fail("launch, platform: ${failure.detail}")
+                console.reportError("launch, platform: ${failure.detail}")
                 ExitCode.UNAVAILABLE
             },
             { node -> serve(settings, node) },
@@ -37,14 +37,14 @@
     private fun serve(settings: NodeSettings, node: RunningNode): ExitCode {
         node.start()
         console.out("node ${settings.vm} serves callers at port ${node.callerPort}, operators at ${node.operatorPort}")
-        val ended = CountDownLatch(1)
+        val stopped = CountDownLatch(1)
         Runtime.getRuntime().addShutdownHook(
             Thread {
                 node.stop()
-                ended.countDown()
+                stopped.countDown()
             },
         )
-        ended.await()
+        stopped.await()
         return ExitCode.OK
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ReloadSignal.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ReloadSignal.kt
@@ -2,12 +2,12 @@
 
 import sun.misc.Signal
 
-/** SIGHUP as a request to read the settings again; without a handler the JVM ends on it. */
+/** Handles SIGHUP as a request to reload the settings; without a handler the signal ends the JVM. */
 internal object ReloadSignal {
-    /** Calls [action] for each signal from now on and returns what restores the former handling. */
+    /** Calls [action] on each SIGHUP; the returned function restores the previous handler. */
     fun install(action: () -> Unit): () -> Unit {
         val signal = Signal("HUP")
-        val former = Signal.handle(signal) { action() }
-        return { Signal.handle(signal, former) }
+        val previousHandler = Signal.handle(signal) { action() }
+        return { Signal.handle(signal, previousHandler) }
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/StatusCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/StatusCommand.kt
@@ -21,15 +21,15 @@
 import kotlinx.cli.ArgType
 import kotlinx.cli.required
 
-/** Prints today's page from the figures in the platform's object API. */
+/** Prints today's page from the summaries that are stored in the platform's object API. */
 internal class StatusCommand(private val console: Console, private val connect: ConnectPlatform) :
     Command("status", "Print today's page") {
     private val platform by option(ArgType.String, "platform", "p", "Address of the platform's object API").required()
 
     override fun run(): ExitCode =
-        read(connect(platform)).fold(
+        readReport(connect(platform)).fold(
             { detail ->
-                console.fail(detail)
+                console.reportError(detail)
                 ExitCode.UNAVAILABLE
             },
             { (configuration, report) ->
@@ -39,18 +39,18 @@
             },
         )
 
-    private fun read(store: ObjectStore): Either<String, Pair<FleetConfiguration, DayReport>> =
+    private fun readReport(store: ObjectStore): Either<String, Pair<FleetConfiguration, DayReport>> =
         either {
             val configuration = readConfiguration(store).bind()
             val vms = store.vms().mapLeft(::describe).bind()
-            val live = vms.filter { it.state == VmState.LIVE }.map { it.name }.toSet()
-            val page = TodayPage(SummaryStore(store), own = null, SystemClock, { configuration }, { live })
+            val liveVms = vms.filter { it.state == VmState.LIVE }.map { it.name }.toSet()
+            val page = TodayPage(SummaryStore(store), own = null, SystemClock, { configuration }, { liveVms })
             configuration to page.report()
         }
 
     private fun readConfiguration(store: ObjectStore): Either<String, FleetConfiguration> =
-        store.read(FleetConfiguration.STORE_KEY).mapLeft(::describe).flatMap { found ->
-            found?.let { ConfigurationCodec.decode(it.value).mapLeft { detail -> "read, platform: $detail" } }
+        store.read(FleetConfiguration.STORE_KEY).mapLeft(::describe).flatMap { stored ->
+            stored?.let { ConfigurationCodec.decode(it.value).mapLeft { detail -> "read, platform: $detail" } }
                 ?: FleetConfiguration.EMPTY.right()
         }
 
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
@@ -18,70 +18,71 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How long the demo works and stays.
+ * Durations of the phases of the demo.
  *
- * @property load time for which callers work; a primary stops after a third of it and comes back after two thirds.
- * @property stay time for which the pages stay at the end.
+ * @property loadDuration time for which callers send requests; a primary stops after a third of it and restarts after
+ *   two thirds.
+ * @property pageServingTime time for which the pages are served at the end.
  */
-public data class DemoSettings(val load: Duration = 15.seconds, val stay: Duration = 0.seconds)
+public data class DemoSettings(val loadDuration: Duration = 15.seconds, val pageServingTime: Duration = 0.seconds)
 
 /**
- * Shows the whole path in one process on loopback: for each of the two example deployments a platform, three database
- * groups and three nodes; callers of all teams; one failover; a check that reads back all acknowledged work; and
- * today's page.
+ * Runs two example deployments in one process on loopback, each with a platform, three database groups and three nodes.
+ * Callers of all teams send requests during one failover; a check then reads back all acknowledged writes, and the demo
+ * prints today's page.
  */
 public class Demo(private val settings: DemoSettings, private val console: Console) {
-    /** Runs the demo; fails when work was lost or doubled, a read was stale, or an outcome stayed unknown. */
+    /** Runs the demo; fails if a write was lost or ran twice, a read was stale, or an outcome remained unknown. */
     public fun run(): ExitCode {
-        val deployments = DemoAnswers.examples.keys.map(::DemoDeployment)
+        val deployments = DemoAnswers.teamFilesByExample.keys.map(::DemoDeployment)
         return try {
             deployments.forEach { it.start() }
-            val kept = run(deployments)
-            if (kept) ExitCode.OK else ExitCode.FAILED
+            val promisesKept = runDeployments(deployments)
+            if (promisesKept) ExitCode.OK else ExitCode.FAILED
         } finally {
             deployments.forEach { it.close() }
         }
     }
 
-    private fun run(deployments: List<DemoDeployment>): Boolean {
+    private fun runDeployments(deployments: List<DemoDeployment>): Boolean {
         deployments.forEach { console.out("${it.name}: 3 nodes, ${it.configuration.databases.size} database groups") }
-        Thread.sleep(SETTLING.inWholeMilliseconds)
-        val callers = deployments.associateWith(::callersOf)
-        work(callers)
-        callers.forEach { (deployment, own) -> publish(deployment, own) }
-        Thread.sleep(SUMMARY_TIME.inWholeMilliseconds)
+        Thread.sleep(STARTUP_WAIT.inWholeMilliseconds)
+        val callersByDeployment = deployments.associateWith(::callersOf)
+        runLoad(callersByDeployment)
+        callersByDeployment.forEach { (deployment, callers) -> storeCheckResults(deployment, callers) }
+        Thread.sleep(SUMMARY_WAIT.inWholeMilliseconds)
         val reports = deployments.associateWith(::reportOn)
-        reports.forEach { (deployment, report) -> show(deployment, report) }
-        Thread.sleep(settings.stay.inWholeMilliseconds)
-        return reports.values.all(::isKept)
+        reports.forEach { (deployment, report) -> printReport(deployment, report) }
+        Thread.sleep(settings.pageServingTime.inWholeMilliseconds)
+        return reports.values.all(::mandatoryPromisesKept)
     }
 
     private fun callersOf(deployment: DemoDeployment): List<DemoCaller> =
         deployment.configuration.teams.flatMap { team ->
-            List(CALLERS_PER_TEAM) { DemoCaller("${team.name}-$it", team, deployment.entries) }
+            List(CALLERS_PER_TEAM) { DemoCaller("${team.name}-$it", team, deployment.entryAddresses) }
         }
 
-    private fun work(callers: Map<DemoDeployment, List<DemoCaller>>) {
-        val all = callers.values.flatten()
-        val pool = Executors.newFixedThreadPool(all.size)
-        val running = all.map { caller -> pool.submit(Callable { caller.work(settings.load) }) }
-        Thread.sleep(settings.load.inWholeMilliseconds / FAILOVER_PARTS)
-        val stopped = callers.keys.first()
-        val database = stopped.configuration.databases.first().name
-        val member = stopped.stopPrimary(database)
-        console.out("${stopped.name}: $member, the primary of $database, has stopped")
-        Thread.sleep(settings.load.inWholeMilliseconds / FAILOVER_PARTS)
-        stopped.startMember(database, member)
-        console.out("${stopped.name}: $member is back")
-        running.forEach { it.get() }
+    private fun runLoad(callersByDeployment: Map<DemoDeployment, List<DemoCaller>>) {
+        val allCallers = callersByDeployment.values.flatten()
+        val pool = Executors.newFixedThreadPool(allCallers.size)
+        val tasks = allCallers.map { caller -> pool.submit(Callable { caller.sendRequests(settings.loadDuration) }) }
+        Thread.sleep(settings.loadDuration.inWholeMilliseconds / LOAD_PHASES)
+        val deployment = callersByDeployment.keys.first()
+        val database = deployment.configuration.databases.first().name
+        val stoppedMember = deployment.stopPrimary(database)
+        console.out("${deployment.name}: $stoppedMember, the primary of $database, has stopped")
+        Thread.sleep(settings.loadDuration.inWholeMilliseconds / LOAD_PHASES)
+        deployment.startMember(database, stoppedMember)
+        console.out("${deployment.name}: $stoppedMember is back")
+        tasks.forEach { it.get() }
         pool.shutdown()
-        console.out("${all.sumOf { it.requests }} requests of ${all.size} callers; reading back what was acknowledged")
+        console.out("${allCallers.sumOf { it.requests }} requests of ${allCallers.size} callers; checking the writes")
     }
 
-    /** Adds the results of the checks to the deployment's figures, as a source of their own. */
-    private fun publish(deployment: DemoDeployment, callers: List<DemoCaller>) {
-        val recorder = DayRecorder(checker, SystemClock)
-        val results = callers.flatMap { it.check().entries }
+    /** Stores the results of the checks in the deployment's summaries, under the VM name [checkerVm]. */
+    private fun storeCheckResults(deployment: DemoDeployment, callers: List<DemoCaller>) {
+        val recorder = DayRecorder(checkerVm, SystemClock)
+        val results = callers.flatMap { it.checkWrites().entries }
         results.forEach { (identity: KindIdentity, figures: CheckFigures) -> recorder.checked(identity, figures) }
         val store = SummaryStore(deployment.store)
         recorder.summaries().forEach { store.write(it) }
@@ -89,26 +90,26 @@
 
     private fun reportOn(deployment: DemoDeployment): DayReport =
         TodayPage(SummaryStore(deployment.store), null, SystemClock, { deployment.configuration }) {
-            deployment.vms + checker
+            deployment.vms + checkerVm
         }.report()
 
-    private fun show(deployment: DemoDeployment, report: DayReport) {
+    private fun printReport(deployment: DemoDeployment, report: DayReport) {
         console.out("")
         console.out("== ${deployment.name} ==")
         console.out(TerminalPage.render(report).trimEnd())
         console.out("")
-        console.out("In the browser, while the demo runs: ${deployment.pages.joinToString(" ")}")
+        console.out("In the browser, while the demo runs: ${deployment.pageAddresses.joinToString(" ")}")
     }
 
-    /** A short day weighs one failover heavily, so that a missed goal is shown but does not count. */
-    private fun isKept(report: DayReport): Boolean =
+    /** Missed goals are shown but not counted, because one failover weighs heavily in the figures of a short day. */
+    private fun mandatoryPromisesKept(report: DayReport): Boolean =
         report.promises.filter { it.always }.all { it.verdict == Verdict.GOOD || it.verdict == Verdict.NONE }
 
     private companion object {
         const val CALLERS_PER_TEAM = 2
-        const val FAILOVER_PARTS = 3
-        val checker = VmName("demo-check")
-        val SETTLING = 2.seconds
-        val SUMMARY_TIME = 6.seconds
+        const val LOAD_PHASES = 3
+        val checkerVm = VmName("demo-check")
+        val STARTUP_WAIT = 2.seconds
+        val SUMMARY_WAIT = 6.seconds
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/DemoAnswers.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/DemoAnswers.kt
@@ -5,23 +5,25 @@
 import dev.kumquatknot.operations.questionnaire.Answers
 import dev.kumquatknot.operations.questionnaire.Questionnaire
 
-/** The example answers that the program carries with it. */
+/** The example answers in the program's resources. */
 internal object DemoAnswers {
-    /** Folders of the examples with the files of their teams. */
-    val examples: Map<String, List<String>> = mapOf(
+    /** The names of the team files by the example's folder. */
+    val teamFilesByExample: Map<String, List<String>> = mapOf(
         "pesebre-unido" to listOf("counter", "parishes", "warehouse"),
         "nile-edge" to listOf("learners", "instructors", "tool-kits"),
     )
 
-    /** Returns the answers of [example]. */
+    /** Returns the answers of [example]; throws IllegalStateException where they are invalid. */
     fun read(example: String): Answers {
-        val teams = examples.getValue(example).map { document("$example/teams/$it.json") }
+        val teams = teamFilesByExample.getValue(example).map { document("$example/teams/$it.json") }
         return Questionnaire().check(document("$example/fleet.json"), teams)
             .getOrElse { problems -> error(problems.joinToString("\n")) }
     }
 
     private fun document(path: String): SourceDocument {
-        val stream = checkNotNull(DemoAnswers::class.java.getResourceAsStream("/examples/$path")) { "resource $path" }
+        val stream = checkNotNull(DemoAnswers::class.java.getResourceAsStream("/examples/$path")) {
+            "resource /examples/$path is missing"
+        }
         return SourceDocument(path, stream.use { it.readBytes() })
     }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/DemoDeployment.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/DemoDeployment.kt
@@ -26,41 +26,41 @@
 import java.net.ServerSocket
 import kotlin.concurrent.thread
 
-/** One deployment of the demo on loopback: platform, database groups, and one node in each data centre. */
+/** One deployment of the demo on loopback: a platform, database groups, and one node in each data centre. */
 internal class DemoDeployment(val name: String) : AutoCloseable {
     private val platform = PlatformStandin()
     private val platformServer = PlatformServer(platform)
-    private val generated = ConfigurationGenerator.generate(DemoAnswers.read(name))
-    private val groups = generated.databases.associate { it.name to DatabaseGroup(settingsOf(it)) }
-    private val groupServers = generated.databases.map { database ->
+    private val generatedConfiguration = ConfigurationGenerator.generate(DemoAnswers.read(name))
+    private val groups = generatedConfiguration.databases.associate { it.name to DatabaseGroup(settingsOf(it)) }
+    private val groupServers = generatedConfiguration.databases.map { database ->
         DatabaseGroupServer(groups.getValue(database.name), settingsOf(database).database.members)
     }
     private val nodes = mutableListOf<RunningNode>()
 
-    /** The configuration in force, with the members' addresses on loopback. */
+    /** The applied configuration, which holds the members' addresses on loopback. */
     lateinit var configuration: FleetConfiguration
         private set
 
-    /** The platform's object API, without the way over HTTP. */
+    /** The platform's object API, called in process instead of over HTTP. */
     val store: ObjectStore get() = platform
 
     /** Names of the VMs. */
-    val vms: Set<VmName> = generated.dataCentres.indices.map { VmName("$name-entry-${it + 1}") }.toSet()
+    val vms: Set<VmName> = generatedConfiguration.dataCentres.indices.map { VmName("$name-entry-${it + 1}") }.toSet()
 
-    /** Base addresses for callers. */
-    val entries: List<String> get() = nodes.map { "http://$LOOPBACK:${it.callerPort}" }
+    /** Base addresses of the nodes for callers. */
+    val entryAddresses: List<String> get() = nodes.map { "http://$LOOPBACK:${it.callerPort}" }
 
-    /** Addresses of today's page. */
-    val pages: List<String> get() = nodes.map { "http://$LOOPBACK:${it.operatorPort}/" }
+    /** Addresses at which the nodes serve today's page. */
+    val pageAddresses: List<String> get() = nodes.map { "http://$LOOPBACK:${it.operatorPort}/" }
 
-    /** Starts everything and applies the configuration. */
+    /** Starts the platform and the database groups, applies the configuration, and starts the nodes. */
     fun start() {
         platformServer.start()
         groupServers.forEach { it.start() }
         groups.values.forEach { it.startReplication() }
         SessionKeyStore(platform).ensure().getOrElse { error(it.detail) }
-        configuration = generated.copy(
-            databases = generated.databases.zip(groupServers) { database, server ->
+        configuration = generatedConfiguration.copy(
+            databases = generatedConfiguration.databases.zip(groupServers) { database, server ->
                 database.copy(members = server.addresses())
             },
         )
@@ -68,20 +68,20 @@
         startNodes()
     }
 
-    /** Stops the first primary of [database]. */
+    /** Stops the first member of [database], which is its initial primary, and returns the name of that member. */
     fun stopPrimary(database: DatabaseName): MemberName {
         val group = groups.getValue(database)
         return group.memberNames.first().also { group.set(it, MemberFault.Stop) }
     }
 
-    /** Starts [member] of [database] again. */
+    /** Restarts [member] of [database]. */
     fun startMember(database: DatabaseName, member: MemberName) {
         groups.getValue(database).set(member, MemberFault.Start)
     }
 
     override fun close() {
-        val stopping = nodes.map { node -> thread { node.stop() } }
-        stopping.forEach { it.join() }
+        val stopThreads = nodes.map { node -> thread { node.stop() } }
+        stopThreads.forEach { it.join() }
         groupServers.forEach { it.close() }
         groups.values.forEach { it.close() }
         platformServer.close()
@@ -92,13 +92,13 @@
         val settings = vms.mapIndexed { index, vm ->
             NodeSettings(
                 vm = vm,
-                dataCentre = generated.dataCentres[index].name,
+                dataCentre = generatedConfiguration.dataCentres[index].name,
                 callerAddress = "$LOOPBACK:0",
                 operatorAddress = "$LOOPBACK:0",
                 nodeAddress = "$LOOPBACK:${ports[index]}",
                 platformAddress = platformServer.address(),
                 databaseAdapter = DatabaseAdapter.StandIn,
-                workers = WORKERS,
+                workers = WORKER_THREADS,
             )
         }
         settings.forEach { platform.putVm(ListedVm(it.vm, it.dataCentre, it.nodeAddress, VmState.LIVE)) }
@@ -109,14 +109,14 @@
     private fun settingsOf(database: DatabaseConfiguration): DatabaseStandinSettings =
         DatabaseStandinSettings(
             database.copy(members = database.members.map { it.copy(address = "$LOOPBACK:0") }),
-            schema = listOf(DemoWork.CREATE_TABLE),
+            schema = listOf(DemoStatements.CREATE_TABLE),
         )
 
     private companion object {
         const val LOOPBACK = "127.0.0.1"
-        const val WORKERS = 64
+        const val WORKER_THREADS = 64
 
-        /** Returns ports that were free a moment ago; all are held at once so that none is given twice. */
+        /** Returns [count] different ports that are free at the call; binding all at once prevents duplicates. */
         fun freePorts(count: Int): List<Int> {
             val sockets = List(count) { ServerSocket(0, 1, InetAddress.getByName(LOOPBACK)) }
             return sockets.map { it.localPort }.also { sockets.forEach(ServerSocket::close) }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/ArchitectureSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/ArchitectureSpec.kt
@@ -9,36 +9,38 @@
 import org.junit.jupiter.api.Test
 
 class ArchitectureSpec {
-    private val base = "dev.kumquatknot"
+    private val basePackage = "dev.kumquatknot"
 
-    private fun forbid(module: String, vararg others: String) {
-        noClasses().that().resideInAPackage("$base.$module..")
-            .should().dependOnClassesThat().resideInAnyPackage(*others.map { "$base.$it.." }.toTypedArray())
+    private fun forbidDependencies(module: String, vararg targets: String) {
+        noClasses().that().resideInAPackage("$basePackage.$module..")
+            .should().dependOnClassesThat().resideInAnyPackage(*targets.map { "$basePackage.$it.." }.toTypedArray())
             .check(classes)
     }
 
     @Nested
-    inner class `a dependency` {
+    inner class `a dependency between modules` {
         @Test
-        fun `points from the outside towards core`() {
-            forbid("core", "protocol", "operations", "proxy", "standin", "client", "app")
-            forbid("protocol", "operations", "proxy", "standin", "client", "app")
-            forbid("operations", "protocol", "proxy", "standin", "client", "app")
-            forbid("proxy", "standin", "client", "app")
-            forbid("client", "operations", "proxy", "standin", "app")
-            forbid("standin", "app")
-            forbid("platform", "operations", "standin", "client", "app", "protocol")
+        fun `points from the outer modules to core`() {
+            forbidDependencies("core", "protocol", "operations", "proxy", "standin", "client", "app")
+            forbidDependencies("protocol", "operations", "proxy", "standin", "client", "app")
+            forbidDependencies("operations", "protocol", "proxy", "standin", "client", "app")
+            forbidDependencies("proxy", "standin", "client", "app")
+            forbidDependencies("client", "operations", "proxy", "standin", "app")
+            forbidDependencies("standin", "app")
+            forbidDependencies("platform", "operations", "standin", "client", "app", "protocol")
         }
 
         @Test
-        fun `on the users' platform comes from the command line alone`() {
-            listOf("core", "protocol", "operations", "proxy", "standin", "client").forEach { forbid(it, "platform") }
+        fun `on the platform module exists only in the app module`() {
+            listOf("core", "protocol", "operations", "proxy", "standin", "client")
+                .forEach { forbidDependencies(it, "platform") }
         }
 
         @Test
         fun `forms no cycle between packages of one module`() {
             listOf("operations", "standin", "app").forEach { module ->
-                slices().matching("$base.$module.(*)..").should().beFreeOfCycles().allowEmptyShould(true).check(classes)
+                slices().matching("$basePackage.$module.(*)..")
+                    .should().beFreeOfCycles().allowEmptyShould(true).check(classes)
             }
         }
     }
@@ -46,8 +48,8 @@
     @Nested
     inner class `core` {
         @Test
-        fun `has no input or output`() {
-            noClasses().that().resideInAPackage("$base.core..")
+        fun `does no input or output`() {
+            noClasses().that().resideInAPackage("$basePackage.core..")
                 .should().dependOnClassesThat().resideInAnyPackage(
                     "java.net..",
                     "java.nio.file..",
@@ -57,7 +59,7 @@
                     "org.http4k..",
                 )
                 .check(classes)
-            noClasses().that().resideInAPackage("$base.core..")
+            noClasses().that().resideInAPackage("$basePackage.core..")
                 .should().dependOnClassesThat().haveNameMatching(
                     "java\\.io\\.(File|Input|Output|Reader|Writer|Print).*",
                 )
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/CommandLineSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/CommandLineSpec.kt
@@ -29,12 +29,12 @@
 
     private fun run(vararg arguments: String): ExitCode = commandLine.run(arguments.toList())
 
-    private fun stored(): String? = platform.read(FleetConfiguration.STORE_KEY).getOrNull()?.value
+    private fun storedConfiguration(): String? = platform.read(FleetConfiguration.STORE_KEY).getOrNull()?.value
 
     @Nested
     inner class `help` {
         @Test
-        fun `is what the program prints without a command`() {
+        fun `is printed when no command is given`() {
             expectThat(run()).isEqualTo(ExitCode.OK)
             expectThat(out.single()).contains("Examples")
         }
@@ -48,15 +48,15 @@
     }
 
     @Nested
-    inner class `a wrong command line` {
+    inner class `an invalid command line` {
         @Test
-        fun `with an unknown command names it`() {
+        fun `with an unknown command reports the name of the command`() {
             expectThat(run("aply")).isEqualTo(ExitCode.USAGE)
-            expectThat(errors.single()).contains("there is no command \"aply\"")
+            expectThat(errors.single()).contains("unknown command \"aply\"")
         }
 
         @Test
-        fun `with an unknown option goes to standard error`() {
+        fun `with an unknown option reports an error on standard error`() {
             expectThat(run("check", example, "--loud")).isEqualTo(ExitCode.USAGE)
             expectThat(errors.single()).startsWith("kumquatknot: parse, local: ")
             expectThat(out).isEmpty()
@@ -65,13 +65,13 @@
         @Test
         fun `without a required option changes nothing`() {
             expectThat(run("apply", example)).isEqualTo(ExitCode.USAGE)
-            expectThat(stored()).isNull()
+            expectThat(storedConfiguration()).isNull()
         }
 
         @Test
-        fun `without a subcommand says so`() {
+        fun `without a subcommand reports that one is required`() {
             expectThat(run("keys")).isEqualTo(ExitCode.USAGE)
-            expectThat(errors.single()).contains("needs a subcommand")
+            expectThat(errors.single()).contains("requires a subcommand")
         }
     }
 
@@ -86,7 +86,7 @@
         }.toString()
 
         @Test
-        fun `tells the story of a request`(
+        fun `prints the events that explain a request`(
             @TempDir folder: Path,
         ) {
             expectThat(run("explain", "r1", logFile(folder))).isEqualTo(ExitCode.OK)
@@ -95,7 +95,7 @@
         }
 
         @Test
-        fun `says so where no log names the request`(
+        fun `fails if no log contains the request`(
             @TempDir folder: Path,
         ) {
             expectThat(run("explain", "r2", logFile(folder))).isEqualTo(ExitCode.FAILED)
@@ -103,7 +103,7 @@
         }
 
         @Test
-        fun `names a file that cannot be read`() {
+        fun `reports the name of a file that cannot be read`() {
             expectThat(run("explain", "r1", "no-such-file")).isEqualTo(ExitCode.BAD_DATA)
             expectThat(errors.single()).contains("no-such-file cannot be read")
         }
@@ -128,7 +128,7 @@
     @Nested
     inner class `generate` {
         @Test
-        fun `writes the same bytes each time`(
+        fun `writes identical bytes for the same answers`(
             @TempDir folder: Path,
         ) {
             val files = listOf(folder.resolve("a.json"), folder.resolve("b.json"))
@@ -142,7 +142,7 @@
         @Test
         fun `creates the session keys and the configuration`() {
             expectThat(run("apply", example, "--platform", "p")).isEqualTo(ExitCode.OK)
-            expectThat(stored()).isNotNull().startsWith("{\"number\":1,")
+            expectThat(storedConfiguration()).isNotNull().startsWith("{\"number\":1,")
             expectThat(platform.read("keys/session").getOrNull()).isNotNull()
         }
 
@@ -150,24 +150,24 @@
         fun `changes nothing in a dry run`() {
             expectThat(run("apply", example, "--platform", "p", "--dry-run")).isEqualTo(ExitCode.OK)
             expectThat(out).contains("  add team counter")
-            expectThat(stored()).isNull()
+            expectThat(storedConfiguration()).isNull()
         }
 
         @Test
-        fun `changes nothing when an answer is bad`(
+        fun `changes nothing if an answer is invalid`(
             @TempDir folder: Path,
         ) {
             run("apply", example, "--platform", "p")
-            val before = stored()
+            val before = storedConfiguration()
             copyExample(folder)
             folder.resolve("teams/counter.json").writeText("")
             expectThat(run("apply", "$folder", "--platform", "p")).isEqualTo(ExitCode.BAD_DATA)
             expectThat(errors.single()).contains("teams/counter.json: $: the file is empty")
-            expectThat(stored()).isEqualTo(before)
+            expectThat(storedConfiguration()).isEqualTo(before)
         }
 
         @Test
-        fun `asks for a confirmation before it removes a team`(
+        fun `requires confirmation to remove a team`(
             @TempDir folder: Path,
         ) {
             run("apply", example, "--platform", "p")
@@ -179,11 +179,11 @@
         }
 
         @Test
-        fun `reports a platform that refuses`() {
+        fun `fails and stores nothing if the platform refuses requests`() {
             platform.set(PlatformFault.Refuse)
             expectThat(run("apply", example, "--platform", "p")).isEqualTo(ExitCode.UNAVAILABLE)
             platform.set(PlatformFault.Heal)
-            expectThat(stored()).isNull()
+            expectThat(storedConfiguration()).isNull()
         }
 
         @OptIn(ExperimentalPathApi::class)
@@ -195,7 +195,7 @@
     @Nested
     inner class `keys rotate` {
         @Test
-        fun `makes the next key`() {
+        fun `creates the next key`() {
             run("apply", example, "--platform", "p")
             expectThat(run("keys", "rotate", "--platform", "p")).isEqualTo(ExitCode.OK)
             expectThat(out.last()).isEqualTo("key 2 signs session tokens from now on")
@@ -221,7 +221,7 @@
     @Nested
     inner class `measure` {
         @Test
-        fun `writes its figures`(
+        fun `writes the results to the output folder`(
             @TempDir folder: Path,
         ) {
             val result = run("measure", "--seconds", "1", "--scenario", "steady", "--output", "$folder")
@@ -230,7 +230,7 @@
         }
 
         @Test
-        fun `refuses a run without time`() {
+        fun `rejects a duration of zero`() {
             expectThat(run("measure", "--seconds", "0")).isEqualTo(ExitCode.USAGE)
         }
     }
@@ -238,7 +238,7 @@
     @Nested
     inner class `standin` {
         @Test
-        fun `reports settings that can't be read`() {
+        fun `reports settings that cannot be read`() {
             expectThat(run("standin", "database", "no-such-file.json")).isEqualTo(ExitCode.BAD_DATA)
             expectThat(run("standin", "platform", "no-such-file.json")).isEqualTo(ExitCode.BAD_DATA)
         }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/DemoAnswersSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/DemoAnswersSpec.kt
@@ -8,10 +8,10 @@
 
 class DemoAnswersSpec {
     @Nested
-    inner class `the answers in the program` {
+    inner class `the example answers in the resources` {
         @Test
-        fun `are complete and in order`() {
-            DemoAnswers.examples.keys.forEach { example ->
+        fun `are complete and valid`() {
+            DemoAnswers.teamFilesByExample.keys.forEach { example ->
                 expectThat(DemoAnswers.read(example).teams).hasSize(3)
             }
         }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/LogSetupSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/LogSetupSpec.kt
@@ -10,12 +10,12 @@
 import strikt.assertions.isEqualTo
 
 class LogSetupSpec {
-    private val variable = "KUMQUATKNOT_LOG_LEVEL"
+    private val levelProperty = "KUMQUATKNOT_LOG_LEVEL"
     private val context = LoggerContext()
 
     @AfterEach
-    fun restore() {
-        System.clearProperty(variable)
+    fun resetLogging() {
+        System.clearProperty(levelProperty)
         context.stop()
     }
 
@@ -25,15 +25,15 @@
     }
 
     @Nested
-    inner class `the level of the log` {
+    inner class `the log level` {
         @Test
-        fun `is that of the system property, which the demo sets so that its pages stay readable`() {
-            System.setProperty(variable, "ERROR")
+        fun `follows the system property, which the demo sets to keep its output readable`() {
+            System.setProperty(levelProperty, "ERROR")
             expectThat(levelOfEvents()).isEqualTo(Level.ERROR)
         }
 
         @Test
-        fun `shows all decisions where nothing is set`() {
+        fun `is INFO by default, which includes all decisions`() {
             expectThat(levelOfEvents()).isEqualTo(Level.INFO)
         }
     }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/PlatformNamesSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/PlatformNamesSpec.kt
@@ -11,7 +11,7 @@
 import kotlin.io.path.readText
 
 class PlatformNamesSpec {
-    private val names = listOf(
+    private val platformNames = listOf(
         "/api/objects",
         "/api/readiness",
         "X-Kumquatknot-",
@@ -29,29 +29,30 @@
         "dbRole",
     )
 
-    private fun sourcesOf(folder: Path): List<Path> = Files.walk(folder.resolve("src/main")).use { files ->
+    private fun sourceFilesOf(folder: Path): List<Path> = Files.walk(folder.resolve("src/main")).use { files ->
         files.filter { it.extension == "kt" }.toList()
     }
 
-    private fun mentions(file: Path) = names.filter { it in file.readText() }
+    private fun platformNamesIn(file: Path) = platformNames.filter { it in file.readText() }
 
     @Nested
     inner class `the names of the users' platform` {
         @Test
-        fun `stand in its folder alone`() {
-            val others = Files.list(Path.of("..")).use { folders ->
+        fun `occur only in the platform module`() {
+            val otherModules = Files.list(Path.of("..")).use { folders ->
                 folders.filter {
                     Files.isDirectory(it.resolve("src/main")) && it.fileName.toString() != "platform"
                 }.toList()
             }
-            val found = others.flatMap { folder -> sourcesOf(folder) }.filter { mentions(it).isNotEmpty() }
-            expectThat(found.map { "$it: ${mentions(it)}" }).isEmpty()
+            val filesWithNames = otherModules.flatMap { folder -> sourceFilesOf(folder) }
+                .filter { platformNamesIn(it).isNotEmpty() }
+            expectThat(filesWithNames.map { "$it: ${platformNamesIn(it)}" }).isEmpty()
         }
 
         @Test
-        fun `are the ones that it uses`() {
-            val text = sourcesOf(Path.of("../platform")).joinToString("\n") { it.readText() }
-            expectThat(names.filter { it in text }).isNotEmpty()
+        fun `are used by the platform module`() {
+            val text = sourceFilesOf(Path.of("../platform")).joinToString("\n") { it.readText() }
+            expectThat(platformNames.filter { it in text }).isNotEmpty()
         }
     }
 }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/command/ReloadSignalSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/command/ReloadSignalSpec.kt
@@ -14,15 +14,15 @@
     @Nested
     inner class `SIGHUP` {
         @Test
-        fun `reads the settings again and does not end the process`() {
-            val called = CountDownLatch(2)
-            val restore = ReloadSignal.install { called.countDown() }
+        fun `calls the reload action and does not end the process`() {
+            val reloads = CountDownLatch(2)
+            val restoreHandler = ReloadSignal.install { reloads.countDown() }
             try {
                 Signal.raise(Signal("HUP"))
                 Signal.raise(Signal("HUP"))
-                expectThat(called.await(20, TimeUnit.SECONDS)).isTrue()
+                expectThat(reloads.await(20, TimeUnit.SECONDS)).isTrue()
             } finally {
-                restore()
+                restoreHandler()
             }
         }
     }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/process/ProcessFleet.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/process/ProcessFleet.kt
@@ -34,43 +34,43 @@
 import java.util.HexFormat
 import java.util.concurrent.TimeUnit
 
-/** A platform, a database group and three nodes, each a process of its own on loopback. */
+/** A stand-in platform, a stand-in database group and three nodes on loopback, each in its own process. */
 class ProcessFleet : AutoCloseable {
     private val folder = Files.createTempDirectory("process-fleet").toFile()
     private val processes = mutableListOf<Process>()
-    private val nodePorts = freePorts(NODES)
-    private val listed = nodePorts.mapIndexed { index, port ->
-        ListedVm(VmName("entry-$index"), centres[index], "127.0.0.1:$port", VmState.LIVE)
+    private val nodePorts = freePorts(NODE_COUNT)
+    private val listedVms = nodePorts.mapIndexed { index, port ->
+        ListedVm(VmName("entry-$index"), dataCentreNames[index], "127.0.0.1:$port", VmState.LIVE)
     }
-    private val platform = start("platform", "standin", "platform", platformSettings())
-    private val database = start("database", "standin", "database", databaseSettings())
+    private val platformProcess = startProcess("platform", "standin", "platform", platformSettings())
+    private val databaseProcess = startProcess("database", "standin", "database", databaseSettings())
     val nodes: List<NodeProcess>
 
     init {
-        val store = HttpObjectStore(URI("http://${platform.ready.substringAfterLast(' ')}"))
+        val store = HttpObjectStore(URI("http://${platformProcess.readyLine.substringAfterLast(' ')}"))
         check(SessionKeyStore(store).ensure().isRight())
         check(ConfigurationApplier(store).apply(configuration()).isRight())
-        nodes = listed.indices.map { startNode(it) }
+        nodes = listedVms.indices.map { startNode(it) }
     }
 
     override fun close() {
         processes.forEach { it.destroyForcibly() }
-        processes.forEach { it.waitFor(STOP_SECONDS, TimeUnit.SECONDS) }
+        processes.forEach { it.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS) }
         folder.deleteRecursively()
     }
 
     private fun startNode(index: Int): NodeProcess {
         val settings = """
-            {"vm": "entry-$index", "dataCentre": "${centres[index]}", "callerAddress": "127.0.0.1:0",
-             "operatorAddress": "127.0.0.1:0", "nodeAddress": "${listed[index].address}",
-             "platformAddress": "${platform.ready.substringAfterLast(' ')}", "databaseAdapter": "standin"}
+            {"vm": "entry-$index", "dataCentre": "${dataCentreNames[index]}", "callerAddress": "127.0.0.1:0",
+             "operatorAddress": "127.0.0.1:0", "nodeAddress": "${listedVms[index].address}",
+             "platformAddress": "${platformProcess.readyLine.substringAfterLast(' ')}", "databaseAdapter": "standin"}
         """.trimIndent()
-        val started = start("entry-$index", "proxy", settings(settings, "entry-$index"))
-        val port = Regex("callers at port (\\d+)").find(started.ready)!!.groupValues[1].toInt()
+        val started = startProcess("entry-$index", "proxy", writeSettings(settings, "entry-$index"))
+        val port = Regex("callers at port (\\d+)").find(started.readyLine)!!.groupValues[1].toInt()
         return NodeProcess("entry-$index", port, started.process)
     }
 
-    private fun start(name: String, vararg arguments: String): Started {
+    private fun startProcess(name: String, vararg arguments: String): StartedProcess {
         val command = listOf(
             "${System.getProperty("java.home")}/bin/java",
             "-Xmx256m",
@@ -81,43 +81,44 @@
         val output = File(folder, "$name.out")
         val process = ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output).start()
         processes += process
-        return Started(process, awaitLine(output, process))
+        return StartedProcess(process, awaitReadyLine(output, process))
     }
 
-    private fun awaitLine(output: File, process: Process): String {
-        val until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS)
-        while (System.nanoTime() < until && process.isAlive) {
+    private fun awaitReadyLine(output: File, process: Process): String {
+        val deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS)
+        while (System.nanoTime() < deadline && process.isAlive) {
             output.readLines().firstOrNull { "ready at" in it || "serves callers" in it }?.let { return it }
-            Thread.sleep(POLL_MILLIS)
+            Thread.sleep(POLL_INTERVAL_MILLIS)
         }
         error("the process did not start: ${output.readText()}")
     }
 
-    private fun settings(text: String, name: String): String = File(folder, "$name.json").apply { writeText(text) }.path
+    private fun writeSettings(text: String, name: String): String =
+        File(folder, "$name.json").apply { writeText(text) }.path
 
-    private fun platformSettings() = settings(
-        Json.encodeToString(PlatformStandinSettings.serializer(), PlatformStandinSettings(vms = listed)),
+    private fun platformSettings() = writeSettings(
+        Json.encodeToString(PlatformStandinSettings.serializer(), PlatformStandinSettings(vms = listedVms)),
         "platform",
     )
 
     private fun databaseSettings(): String {
-        val members = centres.map { MemberConfiguration(MemberName("inventory-$it"), it, "127.0.0.1:0", 3, 20) }
+        val members = dataCentreNames.map { MemberConfiguration(MemberName("inventory-$it"), it, "127.0.0.1:0", 3, 20) }
         val settings = DatabaseStandinSettings(
             database = DatabaseConfiguration(databaseName, members),
             schema = listOf("CREATE TABLE item (id VARCHAR(40) PRIMARY KEY, quantity BIGINT NOT NULL)"),
         )
-        return settings(Json.encodeToString(DatabaseStandinSettings.serializer(), settings), "database")
+        return writeSettings(Json.encodeToString(DatabaseStandinSettings.serializer(), settings), "database")
     }
 
     private fun configuration(): FleetConfiguration {
-        val addresses = database.ready.substringAfter("ready at ").split(' ').map { it.split('=') }
+        val addresses = databaseProcess.readyLine.substringAfter("ready at ").split(' ').map { it.split('=') }
         val members = addresses.mapIndexed { index, (name, address) ->
-            MemberConfiguration(MemberName(name), centres[index], address, 3, 20)
+            MemberConfiguration(MemberName(name), dataCentreNames[index], address, 3, 20)
         }
         val hash = MessageDigest.getInstance("SHA-256").digest(TEAM_KEY.toByteArray())
         return FleetConfiguration(
             number = 0,
-            dataCentres = centres.map { DataCentreConfiguration(it, Region(it.value)) },
+            dataCentres = dataCentreNames.map { DataCentreConfiguration(it, Region(it.value)) },
             databases = listOf(DatabaseConfiguration(databaseName, members)),
             teams = listOf(
                 TeamConfiguration(
@@ -141,16 +142,16 @@
         floorPercent = 10,
     )
 
-    private class Started(val process: Process, val ready: String)
+    private class StartedProcess(val process: Process, val readyLine: String)
 
     companion object {
         const val TEAM_KEY = "process-fleet-key"
-        private const val NODES = 3
-        private const val START_SECONDS = 30L
-        private const val STOP_SECONDS = 10L
-        private const val POLL_MILLIS = 50L
+        private const val NODE_COUNT = 3
+        private const val START_TIMEOUT_SECONDS = 30L
+        private const val STOP_TIMEOUT_SECONDS = 10L
+        private const val POLL_INTERVAL_MILLIS = 50L
         private val databaseName = DatabaseName("inventory")
-        private val centres = listOf("mendoza-a", "rosario-a", "corrientes-a").map { DataCentre(it) }
+        private val dataCentreNames = listOf("mendoza-a", "rosario-a", "corrientes-a").map { DataCentre(it) }
 
         private fun freePorts(count: Int): List<Int> {
             val sockets = List(count) { ServerSocket(0, 1, InetAddress.getLoopbackAddress()) }
@@ -159,12 +160,12 @@
     }
 }
 
-/** A node in a process of its own. */
+/** A node that runs in its own process. */
 class NodeProcess(val name: String, val callerPort: Int, val process: Process) {
     val address: String get() = "http://127.0.0.1:$callerPort"
 
-    /** Sends [signal], such as `STOP`, to the process. */
-    fun signal(signal: String) {
+    /** Sends [signal], such as `STOP`, to the process and waits until the `kill` command ends. */
+    fun sendSignal(signal: String) {
         ProcessBuilder("kill", "-$signal", process.pid().toString()).start().waitFor()
     }
 }
--- a/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/process/ProcessSpec.kt
+++ b/kumquatknot-app/src/test/kotlin/dev/kumquatknot/app/process/ProcessSpec.kt
@@ -56,54 +56,54 @@
         send(node, "read", "look-up", "SELECT quantity FROM item WHERE id = '$id'", session)
 
     @Test
-    fun `a node ended hard in the middle of a transaction leaves nothing of it and nothing else lost`() {
-        val booked = write(fleet.nodes[0], "before")
-        expectThat(booked.statusCode()).isEqualTo(200)
-        val begun = send(fleet.nodes[0], "transactions", "book", "", booked.session())
-        val handle = Regex("\"transaction\":\"([^\"]+)\"").find(begun.body())!!.groupValues[1]
+    fun `a node killed during a transaction rolls back that transaction and loses no committed write`() {
+        val written = write(fleet.nodes[0], "before")
+        expectThat(written.statusCode()).isEqualTo(200)
+        val opened = send(fleet.nodes[0], "transactions", "book", "", written.session())
+        val handle = Regex("\"transaction\":\"([^\"]+)\"").find(opened.body())!!.groupValues[1]
         val insert = "INSERT INTO item (id, quantity) VALUES ('inside', 1)"
         expectThat(send(fleet.nodes[1], "transactions/$handle", "book", insert, null).statusCode()).isEqualTo(200)
-        val holder = fleet.nodes[0]
-        holder.process.destroyForcibly().waitFor()
-        val commit = send(fleet.nodes[1], "transactions/$handle/commit", "book", "", booked.session())
+        val owner = fleet.nodes[0]
+        owner.process.destroyForcibly().waitFor()
+        val commit = send(fleet.nodes[1], "transactions/$handle/commit", "book", "", written.session())
         expectThat(commit.body()).contains("\"effect\":\"not-run\"")
-        expectThat(read(fleet.nodes[1], "inside", booked.session()).body()).contains("\"rows\":[]")
-        expectThat(read(fleet.nodes[2], "before", booked.session()).body()).contains("\"rows\":[[1]]")
-        expectThat(write(fleet.nodes[2], "after", booked.session()).statusCode()).isEqualTo(200)
+        expectThat(read(fleet.nodes[1], "inside", written.session()).body()).contains("\"rows\":[]")
+        expectThat(read(fleet.nodes[2], "before", written.session()).body()).contains("\"rows\":[[1]]")
+        expectThat(write(fleet.nodes[2], "after", written.session()).statusCode()).isEqualTo(200)
     }
 
     @Test
-    fun `a node that was paused is replaced meanwhile and serves what it missed`() {
+    fun `a paused node is replaced by its peers and serves the writes that it missed after it resumes`() {
         val paused = fleet.nodes[0]
         expectThat(write(paused, "before").statusCode()).isEqualTo(200)
-        paused.signal("STOP")
+        paused.sendSignal("STOP")
         val written = write(fleet.nodes[1], "meanwhile")
         expectThat(written.statusCode()).isEqualTo(200)
         Thread.sleep(PAUSE_MILLIS)
-        paused.signal("CONT")
+        paused.sendSignal("CONT")
         expectThat(read(paused, "meanwhile", written.session()).body()).contains("\"rows\":[[1]]")
-        val again = write(paused, "after", written.session())
-        expectThat(again.statusCode()).isEqualTo(200)
-        expectThat(read(fleet.nodes[2], "after", again.session()).body()).contains("\"rows\":[[1]]")
+        val second = write(paused, "after", written.session())
+        expectThat(second.statusCode()).isEqualTo(200)
+        expectThat(read(fleet.nodes[2], "after", second.session()).body()).contains("\"rows\":[[1]]")
     }
 
     @Test
-    fun `a node that stops under load cuts off no request`() {
+    fun `a node that stops gracefully under load interrupts no request`() {
         val node = fleet.nodes[0]
         val stop = AtomicBoolean()
         val answered = AtomicInteger()
-        val cutOff = ConcurrentLinkedQueue<String>()
+        val failures = ConcurrentLinkedQueue<String>()
         val callers = List(8) { caller ->
             thread {
                 var number = 0
                 while (!stop.get()) {
                     try {
-                        val answer = write(node, "load-$caller-${number++}")
-                        if (answer.statusCode() == 200) answered.incrementAndGet() else cutOff += answer.body()
+                        val response = write(node, "load-$caller-${number++}")
+                        if (response.statusCode() == 200) answered.incrementAndGet() else failures += response.body()
                     } catch (_: ConnectException) {
                         stop.set(true)
                     } catch (failure: IOException) {
-                        cutOff += failure.toString()
+                        failures += failure.toString()
                     }
                 }
             }
@@ -114,10 +114,10 @@
         expectThat(node.process.waitFor(40, TimeUnit.SECONDS)).isTrue()
         stop.set(true)
         callers.forEach { it.join() }
-        val during = answered.get() - before
-        println("ProcessSpec: $before writes answered before the stop, $during during it, cut off $cutOff")
+        val duringStop = answered.get() - before
+        println("ProcessSpec: $before writes answered before the stop, $duringStop during it, cut off $failures")
         expectThat(before).isGreaterThan(0)
-        expectThat(cutOff.toList()).isEmpty()
+        expectThat(failures.toList()).isEmpty()
     }
 
     private companion object {
