--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
@@ -3,8 +3,8 @@
 import dev.kumquatknot.app.Console
 import dev.kumquatknot.app.ExitCode
 import dev.kumquatknot.operations.explain.LogLine
-import dev.kumquatknot.operations.explain.RequestStory
-import dev.kumquatknot.operations.explain.StoryLine
+import dev.kumquatknot.operations.explain.RequestTimeline
+import dev.kumquatknot.operations.explain.TimelineLine
 import kotlinx.cli.ArgType
 import kotlinx.cli.vararg
 import java.io.File
@@ -18,7 +18,7 @@
 
     override fun run(): ExitCode {
         val logs = logFiles.flatMap { file -> readLog(file) ?: return ExitCode.BAD_DATA }
-        val explanation = RequestStory.of(requestId, logs)
+        val explanation = RequestTimeline.of(requestId, logs)
         if (explanation == null) {
             console.reportError(
                 "search, local: no line of ${logFiles.size} logs with ${logs.size} events names request $requestId",
@@ -36,7 +36,7 @@
         null
     }
 
-    private fun describe(entry: StoryLine): String {
+    private fun describe(entry: TimelineLine): String {
         val fields = entry.line.fields.filterKeys { it != "request" }.map { (name, value) -> "$name=$value" }
         val role = entry.role.name.lowercase().padEnd(ROLE_WIDTH)
         return "${entry.line.at} $role ${entry.line.source} ${entry.line.event} ${fields.joinToString(" ")}".trim()
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
@@ -83,7 +83,7 @@
     private fun storeCheckResults(deployment: DemoDeployment, callers: List<DemoCaller>) {
         val recorder = DayRecorder(checkerVm, SystemClock)
         val results = callers.flatMap { it.checkWrites().entries }
-        results.forEach { (identity: KindIdentity, figures: CheckFigures) -> recorder.checked(identity, figures) }
+        results.forEach { (identity: KindIdentity, figures: CheckFigures) -> recorder.recordChecks(identity, figures) }
         val store = SummaryStore(deployment.store)
         recorder.summaries().forEach { store.write(it) }
     }
@@ -103,7 +103,7 @@
 
     /** Missed goals are shown but not counted, because one failover weighs heavily in the figures of a short day. */
     private fun mandatoryPromisesKept(report: DayReport): Boolean =
-        report.promises.filter { it.always }.all { it.verdict == Verdict.GOOD || it.verdict == Verdict.NONE }
+        report.promises.filter { it.unconditional }.all { it.verdict == Verdict.GOOD || it.verdict == Verdict.NONE }
 
     private companion object {
         const val CALLERS_PER_TEAM = 2
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationLedger.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationTracker.kt
@@ -34,7 +34,7 @@
  *
  * @param onWaiting called when the first write begins to wait.
  */
-public class ConfirmationLedger(
+public class ConfirmationTracker(
     private val majority: Int,
     private val clock: Clock,
     private val confirmedPoint: ConfirmedPoint = ::pointConfirmedBy,
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecision.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecision.kt
@@ -15,7 +15,7 @@
  * @property received end of the log that it has received, as it reported last.
  * @property reportedAt when the report was received; null where there is none.
  */
-public data class MemberFacts(
+public data class ObservedMember(
     val name: MemberName,
     val leaving: Boolean,
     val answeredAt: Duration?,
@@ -54,13 +54,13 @@
     }
 
     /** Notes that the order was refused or became needless. */
-    public fun settled() {
+    public fun clearOrder() {
         ordered = null
     }
 
     /** Returns the order to give at [now], or null; [proved] tells whether [primary] surely leads. */
     public fun decide(
-        members: List<MemberFacts>,
+        members: List<ObservedMember>,
         primary: MemberName?,
         proved: Boolean,
         now: Duration,
@@ -75,7 +75,7 @@
             .maxWithOrNull(compareBy<FailoverOrder> { it.received }.thenBy { it.candidate })
     }
 
-    private fun reasonFor(primary: MemberFacts?, proved: Boolean, now: Duration): FailoverReason? {
+    private fun reasonFor(primary: ObservedMember?, proved: Boolean, now: Duration): FailoverReason? {
         if (primary == null) {
             val since = withoutPrimarySince ?: now.also { withoutPrimarySince = it }
             return FailoverReason.NO_PRIMARY.takeIf { now - since > timing.withoutPrimary }
@@ -84,7 +84,7 @@
         return if (primary.leaving) FailoverReason.PRIMARY_LEAVING else lossOf(primary, now)
     }
 
-    private fun lossOf(primary: MemberFacts, now: Duration): FailoverReason? {
+    private fun lossOf(primary: ObservedMember, now: Duration): FailoverReason? {
         val failingFor = primary.failingSince?.let { now - it } ?: return null
         return when {
             primary.failures < LEAST_FAILURES -> null
@@ -94,10 +94,10 @@
         }
     }
 
-    private fun answersNow(member: MemberFacts, now: Duration) =
+    private fun answersNow(member: ObservedMember, now: Duration) =
         member.failingSince == null && member.reportedAt != null && now - member.reportedAt <= timing.reportAge
 
-    private fun mayAnswerSoon(member: MemberFacts, now: Duration) =
+    private fun mayAnswerSoon(member: ObservedMember, now: Duration) =
         !answersNow(member, now) && member.failures < LEAST_FAILURES && member.answeredAt != null
 
     private companion object {
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailureDetector.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FailureDetector.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 
 /** When [vm] last heard a member answer: so long ago, or never. */
-public data class VantageReport(val vm: VmName, val heardAgo: Duration?)
+public data class MemberContactReport(val vm: VmName, val heardAgo: Duration?)
 
 /** Why a group needs a new primary. */
 public enum class LossReason {
@@ -75,7 +75,7 @@
     }
 
     /** Records what other VMs said about [primary] at [now]. */
-    public fun observeVantage(primary: MemberName, reports: List<VantageReport>, now: Duration) {
+    public fun observeVantage(primary: MemberName, reports: List<MemberContactReport>, now: Duration) {
         vantage = Vantage(primary, reports, now)
     }
 
@@ -238,7 +238,7 @@
         }
     }
 
-    private data class Vantage(val primary: MemberName, val reports: List<VantageReport>, val askedAt: Duration)
+    private data class Vantage(val primary: MemberName, val reports: List<MemberContactReport>, val askedAt: Duration)
 
     private companion object {
         const val LOSS_RATE_WEIGHT = 0.1
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofs.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessProofs.kt
@@ -18,10 +18,10 @@
     public val latest: HistoryPoint? get() = proofs.lastOrNull()?.point
 
     /** Time at which the newest proof was asked for. */
-    public val latestAskedAt: Duration? get() = proofs.lastOrNull()?.askedAt
+    public val latestProofRequestedAt: Duration? get() = proofs.lastOrNull()?.askedAt
 
     /** Notes that a proved primary was at [point] when it answered a question sent at [askedAt]. */
-    public fun note(point: HistoryPoint, askedAt: Duration) {
+    public fun record(point: HistoryPoint, askedAt: Duration) {
         val last = proofs.lastOrNull()
         if (last != null && (askedAt < last.askedAt || point < last.point)) return
         val beforeLast = if (proofs.size > 1) proofs[proofs.size - 2] else null
@@ -34,7 +34,7 @@
      * Notes that another member leads, and that it was at [point] when it answered a question sent at [askedAt]. What
      * the former primary had beyond that was rolled back, and no member will reach it.
      */
-    public fun leadChanged(point: HistoryPoint, askedAt: Duration) {
+    public fun recordPrimaryChange(point: HistoryPoint, askedAt: Duration) {
         val kept = proofs.map { it.copy(point = minOf(it.point, point)) }.filter { it.askedAt < askedAt }
         proofs.clear()
         proofs += kept
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessLedger.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/FreshnessTracker.kt
@@ -12,7 +12,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /** A primary that a majority still followed at a given time. */
-public data class Standing(val term: Term, val primary: MemberName)
+public data class MajorityPrimary(val term: Term, val primary: MemberName)
 
 /**
  * Table of the primary's positions over time, one to a group. A position that the primary reported to a call sent at
@@ -23,7 +23,7 @@
  *
  * @param onWaiting called when the first read begins to wait.
  */
-public class FreshnessLedger(
+public class FreshnessTracker(
     private val majority: Int,
     private val clock: Clock,
     private val onWaiting: () -> Unit = {},
@@ -31,7 +31,7 @@
     private val lock = ReentrantLock()
     private val changed = lock.newCondition()
     private var stands: Map<MemberName, Stand> = emptyMap()
-    private var primary: Standing? = null
+    private var primary: MajorityPrimary? = null
     private var pending: List<Sample> = emptyList()
     private var proven: List<Sample> = emptyList()
     private var waiting = 0
@@ -57,10 +57,10 @@
     }
 
     /** Returns the primary that a majority still followed at the time [since] or later, or null. */
-    public fun standing(since: Duration): Standing? = lock.withLock { standingSince(since) }
+    public fun standing(since: Duration): MajorityPrimary? = lock.withLock { standingSince(since) }
 
     /** Waits until a majority is seen to follow the primary at [since] or later; null at [deadline] of the clock. */
-    public fun awaitStanding(since: Duration, deadline: Duration): Standing? {
+    public fun awaitStanding(since: Duration, deadline: Duration): MajorityPrimary? {
         standing(since)?.let { return it }
         if (lock.withLock { waiting++ } == 0) onWaiting()
         try {
@@ -73,7 +73,7 @@
     /** Whether any read waits in [awaitStanding]. */
     public fun hasWaiting(): Boolean = lock.withLock { waiting > 0 }
 
-    private fun awaitStandingSince(since: Duration, deadline: Duration): Standing? {
+    private fun awaitStandingSince(since: Duration, deadline: Duration): MajorityPrimary? {
         while (true) {
             standingSince(since)?.let { return it }
             val left = deadline - clock.elapsed()
@@ -82,7 +82,7 @@
         }
     }
 
-    private fun standingSince(since: Duration): Standing? =
+    private fun standingSince(since: Duration): MajorityPrimary? =
         primary?.takeIf { majoritySeenIn(it.term, since) }
 
     private fun majoritySeenIn(term: Term, since: Duration): Boolean =
@@ -100,7 +100,7 @@
     private fun recordPrimary(report: MemberReport, sentAt: Duration) {
         val known = primary
         if (known == null || report.acceptedTerm > known.term) {
-            primary = Standing(report.acceptedTerm, report.member)
+            primary = MajorityPrimary(report.acceptedTerm, report.member)
         }
         pending = (pending + Sample(report.lastEntry, sentAt)).takeLast(PENDING_KEPT)
     }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupCoordinator.kt
@@ -37,8 +37,8 @@
     private val timing: GroupTiming,
     private val rank: CoordinatorRank,
     private val random: UniformRandomProvider,
-    private val confirmations: ConfirmationLedger,
-    private val freshness: FreshnessLedger,
+    private val confirmations: ConfirmationTracker,
+    private val freshness: FreshnessTracker,
     private val preference: List<MemberName> = database.members.map { it.name },
     private val choose: ChooseMember = ::mostComplete,
     private val writesWait: () -> Boolean = confirmations::hasWaiting,
@@ -98,7 +98,7 @@
 
     private fun record(event: GroupEvent, now: Duration): List<GroupEffect> = when (event) {
         is GroupEvent.ReportAnswered -> recordReport(event)
-        is GroupEvent.VantageAnswered -> recordVantage(event, now)
+        is GroupEvent.ContactReportsReceived -> recordVantage(event, now)
         is GroupEvent.AcceptAnswered -> {
             event.answer.onRight { learn(it, event.sentAt) }
             val answer = PromotionEvent.AcceptAnswered(event.member, event.answer)
@@ -110,7 +110,7 @@
             promote(event.proposal, answer, now)
         }
         is GroupEvent.FollowAnswered -> recordFollow(event)
-        is GroupEvent.ViewHeard -> recordView(event.view)
+        is GroupEvent.PeerViewReceived -> recordView(event.view)
         GroupEvent.Tick -> emptyList()
     }
 
@@ -124,7 +124,7 @@
         return emptyList()
     }
 
-    private fun recordVantage(event: GroupEvent.VantageAnswered, now: Duration): List<GroupEffect> {
+    private fun recordVantage(event: GroupEvent.ContactReportsReceived, now: Duration): List<GroupEffect> {
         vantage = vantage.copy(outstanding = false)
         detector.observeVantage(event.primary, event.reports, now)
         return emptyList()
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/GroupEvents.kt
@@ -22,7 +22,7 @@
     ) : GroupEvent
 
     /** Other VMs have said when they last heard [primary]. */
-    public data class VantageAnswered(val primary: MemberName, val reports: List<VantageReport>) : GroupEvent
+    public data class ContactReportsReceived(val primary: MemberName, val reports: List<MemberContactReport>) : GroupEvent
 
     /** A call that asked [member] to accept [proposal] ended. */
     public data class AcceptAnswered(
@@ -45,7 +45,7 @@
         GroupEvent
 
     /** Another VM has formed [view]. */
-    public data class ViewHeard(val view: GroupView) : GroupEvent
+    public data class PeerViewReceived(val view: GroupView) : GroupEvent
 
     /** Time has passed, or a read or write has begun to wait. */
     public data object Tick : GroupEvent
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/PrimaryBelief.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/databasegroup/PrimaryTracker.kt
@@ -9,7 +9,7 @@
  *
  * Confined to one thread.
  */
-public class PrimaryBelief {
+public class PrimaryTracker {
     private var proved: MemberName? = null
     private var decidedAt = -Duration.INFINITE
     private var claimed: MemberName? = null
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/duty/DutyLease.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/duty/DutyLease.kt
@@ -54,7 +54,7 @@
     }
 
     /** Notes that the store acknowledged [record], the writing of which began at [sentAt]. */
-    public fun written(record: DutyRecord, sentAt: Duration) {
+    public fun recordWrite(record: DutyRecord, sentAt: Duration) {
         seen = record
         seenAt = sentAt
         token = record.token
@@ -66,14 +66,14 @@
         seen?.takeIf { it.holder == self }?.let { it.copy(renewal = it.renewal + 1) }
 
     /** Returns the fencing token while this process may act, and null otherwise. */
-    public fun tokenAt(now: Duration): Long? = token.takeIf { heldUntil?.let { until -> now < until } ?: false }
+    public fun fencingTokenAt(now: Duration): Long? = token.takeIf { heldUntil?.let { until -> now < until } ?: false }
 
     /** Returns the record that fences off everything that this holder ordered before; null where it holds nothing. */
-    public fun advanced(): DutyRecord? =
+    public fun advancedRecord(): DutyRecord? =
         seen?.takeIf { it.holder == self }?.let { it.copy(token = it.token + 1, renewal = it.renewal + 1) }
 
     /** Returns the record that gives the duty up; null where it is not held. */
-    public fun released(): DutyRecord? = seen?.takeIf { it.holder == self }?.copy(holder = "")
+    public fun releasedRecord(): DutyRecord? = seen?.takeIf { it.holder == self }?.copy(holder = "")
 
     private fun taken(record: DutyRecord) = DutyRecord(self, record.token + 1, record.renewal + 1)
 
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/OutagePatience.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/FailoverWaitPolicy.kt
@@ -8,12 +8,12 @@
  * Decides whether work waits for a group that has lost its primary. Answers the time of a failover: what arrives
  * shortly before its end is served a little late, and what cannot be served in its time is rejected at once.
  */
-public class OutagePatience(private val timing: OutageTiming = OutageTiming()) {
+public class FailoverWaitPolicy(private val timing: OutageTiming = OutageTiming()) {
     /**
      * Returns until when work that must end by [deadline] waits at [now], where the primary was seen last at
      * [lostSince]; null where waiting is in vain.
      */
-    public fun waitsUntil(lostSince: Duration, now: Duration, deadline: Duration): Duration? {
+    public fun latestWaitTime(lostSince: Duration, now: Duration, deadline: Duration): Duration? {
         val end = minOf(deadline - timing.service, lostSince + timing.longest)
         val expected = maxOf(lostSince + timing.usual, now)
         return end.takeIf { expected <= it }
@@ -21,7 +21,7 @@
 }
 
 /**
- * Times of an [OutagePatience].
+ * Times of an [FailoverWaitPolicy].
  *
  * @property usual time from the last sign of a primary to the first of its successor: 1.3 s to be sure of the loss, 1 s
  * for the platform to promote, and the time to learn of it.
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionMemory.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/interactive/SessionState.kt
@@ -1,20 +1,20 @@
 package dev.kumquatknot.core.interactive
 
 /** What a session has set: its values and its prepared statements by name. */
-public data class SessionMemory(
+public data class SessionState(
     val values: Map<String, String> = emptyMap(),
     val plans: Map<String, StatementPlan> = emptyMap(),
 ) {
     /** Returns the memory after a value was set. */
-    public fun with(statement: SessionStatement.SetValue): SessionMemory =
+    public fun with(statement: SessionStatement.SetValue): SessionState =
         copy(values = values + (statement.name to statement.value))
 
     /** Returns the memory after a statement was prepared. */
-    public fun with(statement: SessionStatement.Prepare): SessionMemory =
+    public fun with(statement: SessionStatement.Prepare): SessionState =
         copy(plans = plans + (statement.name to statement.plan))
 
     /** Returns the memory without the plan called [name]. */
-    public fun without(name: String): SessionMemory = copy(plans = plans - name)
+    public fun without(name: String): SessionState = copy(plans = plans - name)
 }
 
 /**
@@ -22,7 +22,7 @@
  *
  * Plans are shared among sessions: a connection knows each under a name that is made from what it does.
  */
-public data class ConnectionMemory(
+public data class ConnectionState(
     val values: Map<String, String> = emptyMap(),
     val plans: Set<StatementPlan> = emptySet(),
     val uncertain: Boolean = false,
@@ -33,7 +33,7 @@
      */
     public fun prepareFor(wanted: Map<String, String>, plan: StatementPlan?): PreparedConnection {
         val reset = uncertain || values.keys.any { it !in wanted } || plans.size >= MAXIMUM_PLANS
-        val base = if (reset) ConnectionMemory() else this
+        val base = if (reset) ConnectionState() else this
         val changed = wanted.filter { (name, value) -> base.values[name] != value }
         val missing = plan?.takeIf { it !in base.plans }
         val commands = buildList {
@@ -41,7 +41,7 @@
             changed.forEach { (name, value) -> add(MemberCommand.SetValue(name, value)) }
             missing?.let { add(MemberCommand.Prepare(planName(it), it)) }
         }
-        return PreparedConnection(commands, ConnectionMemory(wanted, base.plans + setOfNotNull(missing)))
+        return PreparedConnection(commands, ConnectionState(wanted, base.plans + setOfNotNull(missing)))
     }
 
     public companion object {
@@ -55,4 +55,4 @@
 }
 
 /** The [commands] that make a connection ready for a session, and what it knows [after] them. */
-public data class PreparedConnection(val commands: List<MemberCommand>, val after: ConnectionMemory)
+public data class PreparedConnection(val commands: List<MemberCommand>, val after: ConnectionState)
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/Membership.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/membership/Membership.kt
@@ -52,7 +52,7 @@
     }
 
     /** Takes in that [vm] answered neither a probe nor an indirect one, at [now]. */
-    public fun silent(vm: VmName, now: Duration): MembershipChange {
+    public fun withFailedProbe(vm: VmName, now: Duration): MembershipChange {
         val known = others[vm]?.record ?: return unchanged()
         return when (known.condition) {
             VmCondition.LIVE -> mergedOne(known.copy(condition = VmCondition.SUSPECTED), now)
@@ -62,7 +62,7 @@
     }
 
     /** Fails the VMs that have been suspected for too long, and forgets those that failed long ago. */
-    public fun aged(now: Duration): MembershipChange {
+    public fun withTimeoutsApplied(now: Duration): MembershipChange {
         val kept = others.filterValues { it.record.condition != VmCondition.FAILED || now - it.since < FORGET_AFTER }
         val overdue = kept.values.filter {
             it.record.condition == VmCondition.SUSPECTED && now - it.since >= SUSPICION_TIMEOUT
@@ -116,12 +116,12 @@
 /**
  * The [membership] after a fact.
  *
- * @property news the records that changed and are to be passed on.
+ * @property changedRecords the records that changed and are to be passed on.
  */
-public data class MembershipChange(val membership: Membership, val news: List<VmRecord>) {
+public data class MembershipChange(val membership: Membership, val changedRecords: List<VmRecord>) {
     /** Applies [next] to the membership and gathers the news of both. */
     public fun then(next: (Membership) -> MembershipChange): MembershipChange {
         val following = next(membership)
-        return MembershipChange(following.membership, news + following.news)
+        return MembershipChange(following.membership, changedRecords + following.changedRecords)
     }
 }
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/GroupFacts.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/GroupSnapshot.kt
@@ -40,7 +40,7 @@
  * @property lag recent time between a write at the primary and its arrival at this replica; null where unknown.
  * @property roundTrip time to the member and back, over the VM that holds its connections.
  */
-public data class MemberFacts(
+public data class MemberSnapshot(
     val member: MemberName,
     val availability: MemberAvailability,
     val lastEntry: HistoryPoint?,
@@ -62,10 +62,10 @@
  * @property primary the member that serves as primary in [term]; null during a change of primary.
  * @property provenPoints recent points of the primary, in the order of time.
  */
-public data class GroupFacts(
+public data class GroupSnapshot(
     val term: Term,
     val primary: MemberName?,
-    val members: List<MemberFacts>,
+    val members: List<MemberSnapshot>,
     val provenPoints: List<ProvenPoint>,
 ) {
     /**
--- a/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/Router.kt
+++ b/kumquatknot-core/src/main/kotlin/dev/kumquatknot/core/routing/Router.kt
@@ -35,19 +35,19 @@
  */
 public class Router(private val random: () -> Double, private val policy: RoutingPolicy = RoutingPolicy()) {
     /** Returns the route of a request with these [needs]. */
-    public fun route(needs: RequestNeeds, facts: GroupFacts, now: Duration): Route = when (needs) {
+    public fun route(needs: RequestNeeds, facts: GroupSnapshot, now: Duration): Route = when (needs) {
         is RequestNeeds.Write -> toPrimary(needs, facts, standingCheck = false)
         is RequestNeeds.Read ->
             if (needs.unresolved) toPrimary(needs, facts, standingCheck = true) else read(needs, facts, now)
     }
 
-    private fun toPrimary(needs: RequestNeeds, facts: GroupFacts, standingCheck: Boolean): Route {
+    private fun toPrimary(needs: RequestNeeds, facts: GroupSnapshot, standingCheck: Boolean): Route {
         if (needs.sessionPoint.term > facts.term) return Route.Refuse(FailureReason.SUPERSEDED, policy.retryAfter)
         val primary = facts.servingPrimary() ?: return Route.Refuse(FailureReason.NO_PRIMARY, policy.retryAfter)
         return Route.Serve(listOf(primary.step(needs.sessionPoint, standingCheck)))
     }
 
-    private fun read(needs: RequestNeeds.Read, facts: GroupFacts, now: Duration): Route {
+    private fun read(needs: RequestNeeds.Read, facts: GroupSnapshot, now: Duration): Route {
         val required = requiredPoint(needs, facts, now)
         val replicas = if (required == null) emptyList() else replicas(needs, required, facts, now)
         val steps = (replicas + listOfNotNull(primary(needs, facts))).sortedBy { it.cost }.map { it.step }
@@ -57,7 +57,7 @@
     }
 
     /** Returns the point that a replica must have reached; null where no point proves the age that is asked for. */
-    private fun requiredPoint(needs: RequestNeeds.Read, facts: GroupFacts, now: Duration): HistoryPoint? {
+    private fun requiredPoint(needs: RequestNeeds.Read, facts: GroupSnapshot, now: Duration): HistoryPoint? {
         val age = needs.maximumAge ?: return needs.sessionPoint
         return facts.pointProving(age, now)?.let { maxOf(it, needs.sessionPoint) }
     }
@@ -65,17 +65,17 @@
     private fun replicas(
         needs: RequestNeeds.Read,
         required: HistoryPoint,
-        facts: GroupFacts,
+        facts: GroupSnapshot,
         now: Duration,
     ): List<Candidate> = facts.members
         .filter { it.availability == MemberAvailability.AVAILABLE && it.member != facts.primary }
         .mapNotNull { replica(it, needs, required, facts, now) }
 
     private fun replica(
-        member: MemberFacts,
+        member: MemberSnapshot,
         needs: RequestNeeds.Read,
         required: HistoryPoint,
-        facts: GroupFacts,
+        facts: GroupSnapshot,
         now: Duration,
     ): Candidate? {
         if (member.lastEntry?.covers(required) == true) {
@@ -90,7 +90,7 @@
         )
     }
 
-    private fun primary(needs: RequestNeeds.Read, facts: GroupFacts): Candidate? {
+    private fun primary(needs: RequestNeeds.Read, facts: GroupSnapshot): Candidate? {
         if (needs.sessionPoint.term > facts.term) return null
         val primary = facts.servingPrimary() ?: return null
         val step = primary.step(needs.sessionPoint, standingCheck = needs.maximumAge != null)
@@ -99,9 +99,9 @@
 
     /** Time for which it is worth waiting for [member] to catch up. */
     private fun patience(
-        member: MemberFacts,
+        member: MemberSnapshot,
         needs: RequestNeeds.Read,
-        facts: GroupFacts,
+        facts: GroupSnapshot,
         now: Duration,
     ): Duration {
         val untilDeadline = needs.deadline - now - member.roundTrip - member.load.expectedAnswer
@@ -113,7 +113,7 @@
      * Time until [member] is expected to reach [required]; null where nothing is known about its lag. What a session
      * has seen acknowledged had reached a replica by then, and so is at least as old as the shortest lag.
      */
-    private fun catchUpTime(member: MemberFacts, required: HistoryPoint, facts: GroupFacts, now: Duration): Duration? {
+    private fun catchUpTime(member: MemberSnapshot, required: HistoryPoint, facts: GroupSnapshot, now: Duration): Duration? {
         if (required.term > facts.term) return null
         val lag = member.lag ?: return null
         val writtenBefore = facts.provenPoints.firstOrNull { it.point.covers(required) }?.seenAt ?: now
@@ -121,12 +121,12 @@
         return maxOf(Duration.ZERO, lag - maxOf(now - writtenBefore, shortestLag))
     }
 
-    private fun MemberFacts.cost(): Duration = (roundTrip + load.expectedAnswer) * (1.0 + policy.jitter * random())
+    private fun MemberSnapshot.cost(): Duration = (roundTrip + load.expectedAnswer) * (1.0 + policy.jitter * random())
 
-    private fun MemberFacts.step(required: HistoryPoint, standingCheck: Boolean) =
+    private fun MemberSnapshot.step(required: HistoryPoint, standingCheck: Boolean) =
         RouteStep(member, MemberRole.PRIMARY, required, standingCheck = standingCheck)
 
-    private fun GroupFacts.servingPrimary(): MemberFacts? =
+    private fun GroupSnapshot.servingPrimary(): MemberSnapshot? =
         members.firstOrNull { it.member == primary && it.availability == MemberAvailability.AVAILABLE }
 
     private data class Candidate(val step: RouteStep, val cost: Duration)
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationLedgerSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/ConfirmationLedgerSpec.kt
@@ -16,7 +16,7 @@
 import kotlin.time.Duration.Companion.minutes
 
 class ConfirmationLedgerSpec {
-    private val ledger = ConfirmationLedger(majority = 2, clock = SystemClock)
+    private val ledger = ConfirmationTracker(majority = 2, clock = SystemClock)
     private val primary = MemberName("a")
     private val replica = MemberName("b")
     private val other = MemberName("c")
@@ -83,7 +83,7 @@
         @Test
         fun `ends with the confirmation, and asks for reports when it begins`() {
             val asked = CompletableFuture<Unit>()
-            val waited = ConfirmationLedger(2, SystemClock, onWaiting = { asked.complete(Unit) })
+            val waited = ConfirmationTracker(2, SystemClock, onWaiting = { asked.complete(Unit) })
             val deadline = SystemClock.elapsed() + 1.minutes
             val result = CompletableFuture.supplyAsync { waited.await(point(3, 10), primary, deadline) }
             asked.get(1, TimeUnit.MINUTES)
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecisionSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FailoverDecisionSpec.kt
@@ -19,7 +19,7 @@
     private val now = 60.seconds
     private val primary = MemberName("primary")
 
-    private fun healthy(name: String, received: Long = 10, leaving: Boolean = false) = MemberFacts(
+    private fun healthy(name: String, received: Long = 10, leaving: Boolean = false) = ObservedMember(
         name = MemberName(name),
         leaving = leaving,
         answeredAt = now - 100.milliseconds,
@@ -33,7 +33,7 @@
     private fun failing(name: String, since: Duration, refusing: Boolean = false, failures: Int = 3) =
         healthy(name).copy(failingSince = now - since, failures = failures, refusing = refusing)
 
-    private fun decide(vararg members: MemberFacts) = decision.decide(members.toList(), primary, true, now)
+    private fun decide(vararg members: ObservedMember) = decision.decide(members.toList(), primary, true, now)
 
     @Nested
     inner class `no order is given` {
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FreshnessLedgerSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/FreshnessLedgerSpec.kt
@@ -19,7 +19,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class FreshnessLedgerSpec {
-    private val ledger = FreshnessLedger(majority = 2, clock = SystemClock)
+    private val ledger = FreshnessTracker(majority = 2, clock = SystemClock)
     private val primary = MemberName("a")
     private val replica = MemberName("b")
 
@@ -80,7 +80,7 @@
         fun `when a majority was asked after the given time`() {
             primaryReports(point(3, 10), 100.milliseconds)
             replicaStands(3, 100.milliseconds)
-            expectThat(ledger.standing(100.milliseconds)).isEqualTo(Standing(Term(3), primary))
+            expectThat(ledger.standing(100.milliseconds)).isEqualTo(MajorityPrimary(Term(3), primary))
             expectThat(ledger.standing(101.milliseconds)).isNull()
         }
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSimulation.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/GroupSimulation.kt
@@ -206,8 +206,8 @@
         private var wakeNumber = 0L
         private var events = 0
         private var lastView = GroupView(database.name)
-        private lateinit var confirmations: ConfirmationLedger
-        private lateinit var freshness: FreshnessLedger
+        private lateinit var confirmations: ConfirmationTracker
+        private lateinit var freshness: FreshnessTracker
         lateinit var coordinator: GroupCoordinator
             private set
 
@@ -221,8 +221,8 @@
             up = true
             pending = emptyList()
             lastView = GroupView(database.name)
-            confirmations = ConfirmationLedger(rules.confirmationMajority, clock, rules.confirmedPoint)
-            freshness = FreshnessLedger(rules.freshnessMajority, clock)
+            confirmations = ConfirmationTracker(rules.confirmationMajority, clock, rules.confirmedPoint)
+            freshness = FreshnessTracker(rules.freshnessMajority, clock)
             val proposer = VmName(if (rules.incarnations) "$name/$life" else name)
             coordinator = GroupCoordinator(
                 database,
@@ -372,16 +372,16 @@
 
         private fun askVantage(primary: MemberName) {
             val born = life
-            val reports = mutableListOf<VantageReport>()
+            val reports = mutableListOf<MemberContactReport>()
             nodes.filter { it !== this }.forEach { other ->
                 send(name, other.name) {
                     if (other.up) {
-                        val report = VantageReport(VmName(other.name), other.coordinator.heardAgo(primary, now))
+                        val report = MemberContactReport(VmName(other.name), other.coordinator.heardAgo(primary, now))
                         send(other.name, name) { reports += report }
                     }
                 }
             }
-            at(now + VANTAGE_TIMEOUT) { event(GroupEvent.VantageAnswered(primary, reports.toList()), born) }
+            at(now + VANTAGE_TIMEOUT) { event(GroupEvent.ContactReportsReceived(primary, reports.toList()), born) }
         }
     }
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/LedgerConcurrencySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/LedgerConcurrencySpec.kt
@@ -13,7 +13,7 @@
 /** The shared tables behave under concurrent use as if their operations ran one after the other. */
 class LedgerConcurrencySpec {
     class Confirmations {
-        private val ledger = ConfirmationLedger(majority = 2, clock = SystemClock)
+        private val ledger = ConfirmationTracker(majority = 2, clock = SystemClock)
 
         @Operation
         fun observe(replica: Boolean, term: Int, position: Int) {
@@ -29,7 +29,7 @@
     }
 
     class Freshness {
-        private val ledger = FreshnessLedger(majority = 1, clock = SystemClock)
+        private val ledger = FreshnessTracker(majority = 1, clock = SystemClock)
 
         @Operation
         fun observe(replica: Boolean, term: Int, sentAt: Int) =
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/PrimaryBeliefSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/databasegroup/PrimaryBeliefSpec.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 class PrimaryBeliefSpec {
-    private val belief = PrimaryBelief()
+    private val belief = PrimaryTracker()
     private val first = MemberName("a")
     private val second = MemberName("b")
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/duty/DutyLeaseSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/duty/DutyLeaseSpec.kt
@@ -15,7 +15,7 @@
 
     private fun take(at: Duration = 0.seconds) {
         val step = lease.observe(null, at) as LeaseStep.Write
-        lease.written(step.record, at)
+        lease.recordWrite(step.record, at)
     }
 
     @Nested
@@ -52,29 +52,29 @@
         @Test
         fun `stops before another one may take over, counted from the sending of the renewal`() {
             take()
-            expectThat(lease.tokenAt(2_399.milliseconds)).isEqualTo(1)
-            expectThat(lease.tokenAt(2_400.milliseconds)).isNull()
+            expectThat(lease.fencingTokenAt(2_399.milliseconds)).isEqualTo(1)
+            expectThat(lease.fencingTokenAt(2_400.milliseconds)).isNull()
         }
 
         @Test
         fun `stops as soon as it sees another holder`() {
             take()
             lease.observe(DutyRecord("other", 2, 1), 100.milliseconds)
-            expectThat(lease.tokenAt(200.milliseconds)).isNull()
+            expectThat(lease.fencingTokenAt(200.milliseconds)).isNull()
             expectThat(lease.renewed()).isNull()
         }
 
         @Test
         fun `fences off its own earlier orders with a higher token`() {
             take()
-            expectThat(lease.advanced()).isEqualTo(DutyRecord("self", 2, 1))
+            expectThat(lease.advancedRecord()).isEqualTo(DutyRecord("self", 2, 1))
         }
 
         @Test
         fun `that gives the duty up may act no more`() {
             take()
-            lease.written(checkNotNull(lease.released()), 100.milliseconds)
-            expectThat(lease.tokenAt(200.milliseconds)).isNull()
+            lease.recordWrite(checkNotNull(lease.releasedRecord()), 100.milliseconds)
+            expectThat(lease.fencingTokenAt(200.milliseconds)).isNull()
         }
     }
 }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ConnectionMemorySpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/interactive/ConnectionStateSpec.kt
@@ -8,35 +8,35 @@
 import strikt.assertions.isEmpty
 import strikt.assertions.isEqualTo
 
-class ConnectionMemorySpec {
+class ConnectionStateSpec {
     private val plan = StatementPlan(StatementAccess.READ, "q2c")
 
-    private fun ConnectionMemory.commandsFor(values: Map<String, String>, plan: StatementPlan? = null) =
+    private fun ConnectionState.commandsFor(values: Map<String, String>, plan: StatementPlan? = null) =
         prepareFor(values, plan).commands
 
     @Nested
     inner class `values` {
         @Test
         fun `that the connection has are not set again`() {
-            val memory = ConnectionMemory(mapOf("v" to "1"))
+            val memory = ConnectionState(mapOf("v" to "1"))
             expectThat(memory.commandsFor(mapOf("v" to "1"))).isEmpty()
         }
 
         @Test
         fun `that changed are set`() {
-            val memory = ConnectionMemory(mapOf("v" to "1"))
+            val memory = ConnectionState(mapOf("v" to "1"))
             expectThat(memory.commandsFor(mapOf("v" to "2"))).isEqualTo(listOf(MemberCommand.SetValue("v", "2")))
         }
 
         @Test
         fun `of another session are cleared first`() {
-            val memory = ConnectionMemory(mapOf("other" to "1"))
+            val memory = ConnectionState(mapOf("other" to "1"))
             expectThat(memory.commandsFor(emptyMap())).isEqualTo(listOf(MemberCommand.Reset))
         }
 
         @Test
         fun `are all set again on a connection whose state is uncertain`() {
-            val memory = ConnectionMemory(mapOf("v" to "1"), uncertain = true)
+            val memory = ConnectionState(mapOf("v" to "1"), uncertain = true)
             expectThat(memory.commandsFor(mapOf("v" to "1")))
                 .isEqualTo(listOf(MemberCommand.Reset, MemberCommand.SetValue("v", "1")))
         }
@@ -46,29 +46,29 @@
     inner class `plans` {
         @Test
         fun `are shared by what they do, whatever sessions call them`() {
-            val after = ConnectionMemory().prepareFor(emptyMap(), plan).after
+            val after = ConnectionState().prepareFor(emptyMap(), plan).after
             expectThat(after.commandsFor(emptyMap(), StatementPlan(StatementAccess.READ, "q2c"))).isEmpty()
         }
 
         @Test
         fun `that read and write one shape are kept apart`() {
             expectThat(
-                ConnectionMemory.planName(plan) == ConnectionMemory.planName(plan.copy(access = StatementAccess.WRITE)),
+                ConnectionState.planName(plan) == ConnectionState.planName(plan.copy(access = StatementAccess.WRITE)),
             )
                 .isEqualTo(false)
         }
 
         @Test
         fun `are prepared again after a reset`() {
-            val memory = ConnectionMemory(mapOf("other" to "1"), setOf(plan))
+            val memory = ConnectionState(mapOf("other" to "1"), setOf(plan))
             expectThat(memory.commandsFor(emptyMap(), plan)).contains(MemberCommand.Prepare("r_q2c", plan))
         }
 
         @Test
         fun `beyond the most that a connection keeps reset it`() {
-            val plans = (1..ConnectionMemory.MAXIMUM_PLANS).map { StatementPlan(StatementAccess.READ, "s$it") }.toSet()
+            val plans = (1..ConnectionState.MAXIMUM_PLANS).map { StatementPlan(StatementAccess.READ, "s$it") }.toSet()
             expectThat(
-                ConnectionMemory(plans = plans).commandsFor(emptyMap(), plan),
+                ConnectionState(plans = plans).commandsFor(emptyMap(), plan),
             ).first().isEqualTo(MemberCommand.Reset)
         }
     }
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/MembershipSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/membership/MembershipSpec.kt
@@ -43,7 +43,7 @@
         @Test
         fun `are news only when they change`() {
             val change = membershipWith(other).merged(listOf(other), 1.seconds)
-            expectThat(change.news).isEmpty()
+            expectThat(change.changedRecords).isEmpty()
         }
     }
 
@@ -51,10 +51,10 @@
     inner class `a silent VM` {
         @Test
         fun `is suspected, takes new work still, and fails after the suspicion timeout`() {
-            val suspected = membershipWith(other).silent(other.name, 1.seconds).membership
+            val suspected = membershipWith(other).withFailedProbe(other.name, 1.seconds).membership
             expectThat(suspected.condition("other")).isEqualTo(VmCondition.SUSPECTED)
             expectThat(suspected.usable.map { it.name.value }).containsExactly("other", "self")
-            val failed = suspected.aged(1.seconds + Membership.SUSPICION_TIMEOUT).membership
+            val failed = suspected.withTimeoutsApplied(1.seconds + Membership.SUSPICION_TIMEOUT).membership
             expectThat(failed.condition("other")).isEqualTo(VmCondition.FAILED)
             expectThat(failed.usable.map { it.name.value }).containsExactly("self")
         }
@@ -63,20 +63,20 @@
         fun `that was paused refutes the suspicion when it hears of it`() {
             val paused = Membership(other)
             val change = paused.merged(listOf(vm("other", 0, VmCondition.SUSPECTED)), 9.seconds)
-            expectThat(change.news).containsExactly(vm("other", 1))
+            expectThat(change.changedRecords).containsExactly(vm("other", 1))
         }
 
         @Test
         fun `that was leaving has gone`() {
             val leaving = membershipWith(vm("other", 0, VmCondition.LEAVING))
-            expectThat(leaving.silent(other.name, 1.seconds).membership.condition("other"))
+            expectThat(leaving.withFailedProbe(other.name, 1.seconds).membership.condition("other"))
                 .isEqualTo(VmCondition.FAILED)
         }
 
         @Test
         fun `is forgotten in the end`() {
             val failed = membershipWith(vm("other", 0, VmCondition.FAILED))
-            expectThat(failed.aged(Membership.FORGET_AFTER).membership.record(other.name)).isNull()
+            expectThat(failed.withTimeoutsApplied(Membership.FORGET_AFTER).membership.record(other.name)).isNull()
         }
     }
 
--- a/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/RouterSpec.kt
+++ b/kumquatknot-core/src/test/kotlin/dev/kumquatknot/core/routing/RouterSpec.kt
@@ -34,21 +34,21 @@
         lag: Duration? = 20.milliseconds,
         availability: MemberAvailability = MemberAvailability.AVAILABLE,
         load: MemberLoad = MemberLoad(3, 0, 0, Duration.ZERO, 5.milliseconds),
-    ) = MemberFacts(MemberName(name), availability, position?.let { point(it) }, lag, roundTrip, load)
+    ) = MemberSnapshot(MemberName(name), availability, position?.let { point(it) }, lag, roundTrip, load)
 
-    private fun facts(vararg members: MemberFacts, proven: List<ProvenPoint> = emptyList(), primary: String? = "a") =
-        GroupFacts(Term(3), primary?.let { MemberName(it) }, members.toList(), proven)
+    private fun facts(vararg members: MemberSnapshot, proven: List<ProvenPoint> = emptyList(), primary: String? = "a") =
+        GroupSnapshot(Term(3), primary?.let { MemberName(it) }, members.toList(), proven)
 
     private fun read(position: Long = 10, maximumAge: Duration? = null, term: Long = 3, unresolved: Boolean = false) =
         RequestNeeds.Read(point(position, term), 200.milliseconds, now + 1.seconds, maximumAge, unresolved)
 
     private val write = RequestNeeds.Write(point(10), 200.milliseconds, now + 1.seconds)
 
-    private fun steps(needs: RequestNeeds, facts: GroupFacts) = (router.route(needs, facts, now) as Route.Serve).steps
+    private fun steps(needs: RequestNeeds, facts: GroupSnapshot) = (router.route(needs, facts, now) as Route.Serve).steps
 
-    private fun names(needs: RequestNeeds, facts: GroupFacts) = steps(needs, facts).map { it.member.value }
+    private fun names(needs: RequestNeeds, facts: GroupSnapshot) = steps(needs, facts).map { it.member.value }
 
-    private fun refusal(needs: RequestNeeds, facts: GroupFacts) =
+    private fun refusal(needs: RequestNeeds, facts: GroupSnapshot) =
         (router.route(needs, facts, now) as Route.Refuse).reason
 
     @Nested
@@ -171,7 +171,7 @@
             steps.forEach { expectServing(it, needs, facts) }
         }
 
-        private fun expectServing(step: RouteStep, needs: RequestNeeds, facts: GroupFacts) {
+        private fun expectServing(step: RouteStep, needs: RequestNeeds, facts: GroupSnapshot) {
             val member = facts.members.first { it.member == step.member }
             expectThat(member.availability).isEqualTo(MemberAvailability.AVAILABLE)
             expectThat(step.required.covers(needs.sessionPoint)).isTrue()
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/explain/RequestStory.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/explain/RequestTimeline.kt
@@ -3,7 +3,7 @@
 import java.time.Duration
 
 /** What a line has to do with the request that is explained. */
-public enum class StoryRole {
+public enum class TimelineRole {
     /** It is about the request itself. */
     DECISION,
 
@@ -14,11 +14,11 @@
     ELSEWHERE,
 }
 
-/** One line of a [RequestStory]. */
-public data class StoryLine(val role: StoryRole, val line: LogLine)
+/** One line of a [RequestTimeline]. */
+public data class TimelineLine(val role: TimelineRole, val line: LogLine)
 
 /** What the logs of several VMs tell about one request, in order of time. */
-public data class RequestStory(val request: String, val lines: List<StoryLine>) {
+public data class RequestTimeline(val request: String, val lines: List<TimelineLine>) {
     public companion object {
         /** Time around a decision in which a failover of its group may explain it; orders are given up after 3.5 s. */
         private val AROUND: Duration = Duration.ofSeconds(5)
@@ -27,15 +27,15 @@
         private val everywhere = setOf("FAILOVER_ORDERED", "FAILOVER_ANSWERED", "DUTY_TAKEN", "DUTY_LOST")
 
         /** Returns the story of [request]; null where no log names it. */
-        public fun of(request: String, logs: List<LogLine>): RequestStory? {
+        public fun of(request: String, logs: List<LogLine>): RequestTimeline? {
             val decisions = logs.filter { it.request == request }
             if (decisions.isEmpty()) return null
             val beliefs = decisions.flatMap { decision -> believed(decision, logs) }.distinct()
             val elsewhere = logs.filter { line -> decisions.any { concerns(line, it) } } - beliefs.toSet()
-            val lines = decisions.map { StoryLine(StoryRole.DECISION, it) } +
-                beliefs.map { StoryLine(StoryRole.BELIEF, it) } +
-                elsewhere.map { StoryLine(StoryRole.ELSEWHERE, it) }
-            return RequestStory(request, lines.sortedBy { it.line.at })
+            val lines = decisions.map { TimelineLine(TimelineRole.DECISION, it) } +
+                beliefs.map { TimelineLine(TimelineRole.BELIEF, it) } +
+                elsewhere.map { TimelineLine(TimelineRole.ELSEWHERE, it) }
+            return RequestTimeline(request, lines.sortedBy { it.line.at })
         }
 
         /** The newest line of each kind that [decision]'s VM wrote before it about its group or about itself. */
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayJudge.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayJudge.kt
@@ -111,7 +111,7 @@
             none = "Nobody read.",
             good = "All ${Wording.count(reads, "read")} came from members proved to hold their session's own writes " +
                 "and data no older than the answers allow$byReplicas.",
-        ).copy(always = stale > 0)
+        ).copy(unconditional = stale > 0)
     }
 
     private fun urgent(kinds: List<JudgedKind>): PromiseReport {
@@ -130,7 +130,7 @@
             unsure = "",
             none = "There was no urgent work.",
             good = sentence,
-        ).copy(always = false)
+        ).copy(unconditional = false)
     }
 
     private fun promise(
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayRecorder.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayRecorder.kt
@@ -30,7 +30,7 @@
     private var sequence = 0L
 
     /** Counts a request that was answered with [reply] after [latency]. */
-    public fun completed(request: CallerRequest, reply: CallerReply, latency: Duration) {
+    public fun recordCompletion(request: CallerRequest, reply: CallerReply, latency: Duration) {
         count(request) { kind ->
             kind.complete(latency, request.kind.targetMillis)
             if (request.kind.access == Access.READ) kind.countRead(reply.role)
@@ -51,17 +51,17 @@
     }
 
     /** Notes that the outcome of the work with the key of [request] was told as not run. */
-    public fun settledAsNotRun(request: CallerRequest) {
+    public fun recordResolvedAsNotRun(request: CallerRequest) {
         count(request) { kind -> request.keyHash()?.let { kind.settle(it, told = true) } }
     }
 
     /** Adds results of checks that read back acknowledged work of the kind of [identity]. */
-    public fun checked(identity: KindIdentity, results: CheckFigures) {
+    public fun recordChecks(identity: KindIdentity, results: CheckFigures) {
         lock.withLock { today().kind(identity).checks += results }
     }
 
     /** Counts a change of primary of [database] to [term] after [gap] without service. */
-    public fun failedOver(database: DatabaseName, term: Term, gap: Duration) {
+    public fun recordFailover(database: DatabaseName, term: Term, gap: Duration) {
         val at = clock.instant().toEpochMilli()
         lock.withLock { today().failovers += FailoverFigures(database, term.value, gap.inWholeMilliseconds, at) }
     }
--- a/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayReport.kt
+++ b/kumquatknot-operations/src/main/kotlin/dev/kumquatknot/operations/today/DayReport.kt
@@ -42,13 +42,13 @@
 /**
  * One promise to the owner, in a plain [sentence].
  *
- * @property always whether a breach counts at any load and through any fault, unlike a missed goal.
+ * @property unconditional whether a breach counts at any load and through any fault, unlike a missed goal.
  */
 public data class PromiseReport(
     val title: String,
     val verdict: Verdict,
     val sentence: String,
-    val always: Boolean = true,
+    val unconditional: Boolean = true,
 )
 
 /**
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestStorySpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/explain/RequestStorySpec.kt
@@ -20,7 +20,7 @@
         line("vm-1", 20, "STATEMENT_REJECTED", "request" to "r1", "group" to "g", "code" to "IN_DOUBT")
 
     private fun eventsOf(vararg logs: LogLine) =
-        RequestStory.of("r1", logs.toList())?.lines?.map { "${it.role} ${it.line.source} ${it.line.event}" }
+        RequestTimeline.of("r1", logs.toList())?.lines?.map { "${it.role} ${it.line.source} ${it.line.event}" }
 
     @Nested
     inner class `a line of a log` {
@@ -42,7 +42,7 @@
     inner class `the story of a request` {
         @Test
         fun `is none where no log names it`() {
-            expectThat(RequestStory.of("r2", listOf(rejected))).isNull()
+            expectThat(RequestTimeline.of("r2", listOf(rejected))).isNull()
         }
 
         @Test
--- a/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
+++ b/kumquatknot-operations/src/test/kotlin/dev/kumquatknot/operations/today/DayRecorderSpec.kt
@@ -108,7 +108,7 @@
         @Test
         fun `closes when it is told that it did not run`() {
             recorder.failed(request("charge-deposit", "k1"), unknown)
-            recorder.settledAsNotRun(request("charge-deposit", "k1", Work.Resolve))
+            recorder.recordResolvedAsNotRun(request("charge-deposit", "k1", Work.Resolve))
             expectThat(figures("charge-deposit").openUnknown).isEqualTo(0)
         }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/entry/ReadPlanner.kt
@@ -5,7 +5,7 @@
 import dev.kumquatknot.core.identity.DataCentre
 import dev.kumquatknot.core.identity.MemberName
 import dev.kumquatknot.core.identity.Region
-import dev.kumquatknot.core.routing.GroupFacts
+import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
 import dev.kumquatknot.core.routing.MemberFacts
 import dev.kumquatknot.core.routing.MemberLoad
@@ -68,11 +68,11 @@
         return ReadTarget(member, maxOf(waitForPoint, waitForAge))
     }
 
-    private fun groupFacts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupFacts {
+    private fun groupFacts(database: DatabaseConfiguration, request: RelayRequest, now: Duration): GroupSnapshot {
         val cached = groups.group(database.name)
         val leavingMembers = leaving()
         val members = database.members.filter { it.name == cached.primary || it.lagWithin(cached, request) }
-        return GroupFacts(
+        return GroupSnapshot(
             term = cached.term,
             primary = cached.primary,
             members = members.map { it.toMemberFacts(cached, leavingMembers, now) },
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
@@ -3,9 +3,9 @@
 import arrow.core.left
 import dev.kumquatknot.core.configuration.DatabaseConfiguration
 import dev.kumquatknot.core.databasegroup.Confirmation
-import dev.kumquatknot.core.databasegroup.ConfirmationLedger
+import dev.kumquatknot.core.databasegroup.ConfirmationTracker
 import dev.kumquatknot.core.databasegroup.CoordinatorRank
-import dev.kumquatknot.core.databasegroup.FreshnessLedger
+import dev.kumquatknot.core.databasegroup.FreshnessTracker
 import dev.kumquatknot.core.databasegroup.GroupCoordinator
 import dev.kumquatknot.core.databasegroup.GroupEffect
 import dev.kumquatknot.core.databasegroup.GroupEvent
@@ -14,8 +14,8 @@
 import dev.kumquatknot.core.databasegroup.LossReason
 import dev.kumquatknot.core.databasegroup.MemberAnswer
 import dev.kumquatknot.core.databasegroup.PrimaryVerdict
-import dev.kumquatknot.core.databasegroup.Standing
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MajorityPrimary
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -38,7 +38,7 @@
 import kotlin.time.Duration
 
 /** Asks other VMs when a member of a database group last answered them. Blocks for a bounded time. */
-public typealias RequestVantageReports = (database: DatabaseName, member: MemberName) -> List<VantageReport>
+public typealias RequestVantageReports = (database: DatabaseName, member: MemberName) -> List<MemberContactReport>
 
 /** Publishes a primary that this VM has promoted, on a best-effort basis; correctness does not depend on it. */
 public typealias PublishPromotion = (view: GroupView, reason: LossReason) -> Unit
@@ -103,8 +103,8 @@
     private val lock = ReentrantLock()
     private val members = ports.members.associateBy { it.member }
     private val listeners = CopyOnWriteArrayList<ViewListener>()
-    private val confirmations = ConfirmationLedger(database.majority, clock, onWaiting = ::triggerTick)
-    private val freshness = FreshnessLedger(database.majority, clock, onWaiting = ::triggerTick)
+    private val confirmations = ConfirmationTracker(database.majority, clock, onWaiting = ::triggerTick)
+    private val freshness = FreshnessTracker(database.majority, clock, onWaiting = ::triggerTick)
     private val coordinator = GroupCoordinator(
         database = database,
         proposer = settings.newProposer(),
@@ -139,7 +139,7 @@
     public fun primaryVerdict(): PrimaryVerdict = lock.withLock { coordinator.primaryVerdict }
 
     /** Merges the [view] of another VM; only newer information is adopted. */
-    public fun merge(view: GroupView): Unit = handleEvent(GroupEvent.ViewHeard(view))
+    public fun merge(view: GroupView): Unit = handleEvent(GroupEvent.PeerViewReceived(view))
 
     /** Registers [listener] to be called after each change of term or primary. */
     public fun addViewListener(listener: ViewListener) {
@@ -147,8 +147,8 @@
     }
 
     /** Returns when [member] last answered this VM, for a VM that suspects the member. */
-    public fun vantage(member: MemberName): VantageReport =
-        VantageReport(settings.vm, lock.withLock { coordinator.heardAgo(member, clock.elapsed()) })
+    public fun vantage(member: MemberName): MemberContactReport =
+        MemberContactReport(settings.vm, lock.withLock { coordinator.heardAgo(member, clock.elapsed()) })
 
     /**
      * Blocks until a majority of the group has confirmed the write that [primary] committed at [point], at most until
@@ -165,7 +165,7 @@
      * [deadline] of the monotonic clock. A read that starts at [since] or later at the returned primary in the returned
      * term sees every write acknowledged before [since]. Returns null if no majority was observed in time.
      */
-    public fun awaitStanding(since: Duration, deadline: Duration): Standing? = freshness.awaitStanding(since, deadline)
+    public fun awaitStanding(since: Duration, deadline: Duration): MajorityPrimary? = freshness.awaitStanding(since, deadline)
 
     /** Updates confirmations and freshness from the reply of [member] to a batch that was sent at [sentAt]. */
     public fun observeReply(member: MemberName, sentAt: Duration, reply: BatchReply) {
@@ -218,11 +218,11 @@
     }
 
     private fun requestVantageReports(effect: GroupEffect.AskVantage) {
-        var reports: List<VantageReport> = emptyList()
+        var reports: List<MemberContactReport> = emptyList()
         try {
             reports = ports.requestVantageReports(database.name, effect.primary)
         } finally {
-            handleEvent(GroupEvent.VantageAnswered(effect.primary, reports))
+            handleEvent(GroupEvent.ContactReportsReceived(effect.primary, reports))
         }
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServer.kt
@@ -38,7 +38,7 @@
  * @property idleTime time without a byte in either direction after which a connection without request is closed.
  * @property receiveTime time from the first byte of a request to its last; a slower one is answered with 408.
  * @property lingerTime time for which a stopping server still answers on connections that are open but idle.
- * @property stopTime time that requests in flight have to finish when the server stops.
+ * @property stopTimeout time that requests in flight have to finish when the server stops.
  */
 public data class WorkerPoolSettings(
     val address: String = "0.0.0.0",
@@ -51,7 +51,7 @@
     val idleTime: Duration = 300.seconds,
     val receiveTime: Duration = 30.seconds,
     val lingerTime: Duration = 1.seconds,
-    val stopTime: Duration = 30.seconds,
+    val stopTimeout: Duration = 30.seconds,
 )
 
 /**
@@ -117,7 +117,7 @@
         stopping = true
         listener.close().awaitUninterruptibly()
         gates().forEach { it.drain(settings.lingerTime) }
-        awaitConnections(settings.lingerTime + settings.stopTime)
+        awaitConnections(settings.lingerTime + settings.stopTimeout)
         connections.close().awaitUninterruptibly()
         listOf(acceptors, eventLoops, workers).forEach {
             it.shutdownGracefully(QUIET_MILLIS, SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyKeeper.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/DutyKeeper.kt
@@ -101,7 +101,7 @@
 
     private fun noteChange() {
         val now = clock.elapsed()
-        val value = lease.tokenAt(now)
+        val value = lease.fencingTokenAt(now)
         token = value?.let { HeldToken(it, lease.heldUntil ?: now) }
         if (holds == (value != null)) return
         holds = value != null
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FeedReader.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/FeedReader.kt
@@ -1,9 +1,9 @@
 package dev.kumquatknot.proxy.interactive
 
 import arrow.core.Either
-import dev.kumquatknot.core.platform.FeedAnswer
-import dev.kumquatknot.core.platform.FeedChange
-import dev.kumquatknot.core.platform.ObjectFeed
+import dev.kumquatknot.core.platform.WatchResult
+import dev.kumquatknot.core.platform.ObjectChange
+import dev.kumquatknot.core.platform.WatchableObjects
 import dev.kumquatknot.core.platform.StoreFailure
 import dev.kumquatknot.core.platform.StoredObject
 import dev.kumquatknot.proxy.event.Event
@@ -23,7 +23,7 @@
  */
 public class FeedReader(
     private val kind: String,
-    private val feed: ObjectFeed,
+    private val feed: WatchableObjects,
     private val events: EventLog,
     private val watchTime: Duration,
     private val pause: (Duration) -> Unit = { Thread.sleep(it.inWholeMilliseconds) },
@@ -57,8 +57,8 @@
         while (true) {
             when (val answer = answer(feed.changes(kind, revision, watchTime))) {
                 null -> Unit
-                is FeedAnswer.HistoryGone -> return
-                is FeedAnswer.Changed -> {
+                is WatchResult.RevisionCompacted -> return
+                is WatchResult.Changed -> {
                     revision = answer.revision
                     answer.changes.forEach(::apply)
                     if (answer.changes.isNotEmpty()) onObjects(objects.values.toList())
@@ -67,7 +67,7 @@
         }
     }
 
-    private fun apply(change: FeedChange) {
+    private fun apply(change: ObjectChange) {
         if (change.removed) objects.remove(change.stored.key) else objects[change.stored.key] = change.stored
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupLanes.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupLanes.kt
@@ -1,7 +1,7 @@
 package dev.kumquatknot.proxy.interactive
 
 import dev.kumquatknot.core.databasegroup.FreshnessProofs
-import dev.kumquatknot.core.databasegroup.PrimaryBelief
+import dev.kumquatknot.core.databasegroup.PrimaryTracker
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -29,7 +29,7 @@
     private val lanes = LinkedHashMap<MemberName, MemberLane>()
     private val placement = ReadPlacement()
 
-    val belief = PrimaryBelief()
+    val belief = PrimaryTracker()
     val proofs = FreshnessProofs()
 
     /** All lanes, also those of members that are leaving. */
@@ -84,7 +84,7 @@
 
     /** When the primary was seen last, where it is out of reach or unknown; null where it leads, or was never seen. */
     fun primaryLostSince(): Duration? {
-        val seenAt = proofs.latestAskedAt ?: return null
+        val seenAt = proofs.latestProofRequestedAt ?: return null
         val lane = primaryLane
         val isDoubtful = lane == null || !belief.isProved || lane.health.failures > 0
         return seenAt.takeIf { isDoubtful && environment.now() - it > LOST_AFTER }
@@ -131,7 +131,7 @@
         }
         if (!reply.isCompleted || point == null || !provesLead(command, reply)) return
         if (belief.prove(name, sentAt)) {
-            proofs.leadChanged(point, sentAt)
+            proofs.recordPrimaryChange(point, sentAt)
             logBelief(Event.PRIMARY_PROVED, lane, sentAt)
         } else if (belief.primary == name) {
             proofs.note(point, sentAt)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupObserver.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/GroupObserver.kt
@@ -24,7 +24,7 @@
 
     private fun isQuiet(group: GroupLanes, lane: MemberLane, now: Duration, decides: Boolean): Boolean {
         val leads = group.leads(lane)
-        val since = if (leads) group.proofs.latestAskedAt else lane.health.answeredAt
+        val since = if (leads) group.proofs.latestProofRequestedAt else lane.health.answeredAt
         val limit = when {
             !leads -> REPLICA_AGE
             decides -> DECIDER_PROOF_AGE
@@ -50,7 +50,7 @@
 
     private fun GroupLanes.isTroubled(now: Duration): Boolean {
         val primary = primaryLane ?: return true
-        val provedAt = proofs.latestAskedAt
+        val provedAt = proofs.latestProofRequestedAt
         return primary.leavingSince != null ||
             primary.health.failures > 0 ||
             provedAt == null ||
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/InteractiveSession.kt
@@ -4,7 +4,7 @@
 import dev.kumquatknot.core.identity.RequestId
 import dev.kumquatknot.core.interactive.InteractiveRoute
 import dev.kumquatknot.core.interactive.RejectionCode
-import dev.kumquatknot.core.interactive.SessionMemory
+import dev.kumquatknot.core.interactive.SessionState
 import dev.kumquatknot.core.interactive.SessionReply
 import dev.kumquatknot.core.interactive.SessionStatement
 import dev.kumquatknot.core.interactive.StatementAccess
@@ -24,7 +24,7 @@
 ) {
     private val environment = services.environment
     private val waiting = ArrayDeque<Pair<RequestId, SessionStatement>>()
-    private var memory = SessionMemory()
+    private var memory = SessionState()
     private var transaction: SessionTransaction? = null
     private var own: HistoryPoint? = null
     private var ended = false
@@ -177,7 +177,7 @@
         if (own?.let { point > it } ?: true) own = point
     }
 
-    private fun remember(next: SessionMemory) {
+    private fun remember(next: SessionState) {
         memory = next
         complete()
     }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/LinkPreparation.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/LinkPreparation.kt
@@ -1,6 +1,6 @@
 package dev.kumquatknot.proxy.interactive
 
-import dev.kumquatknot.core.interactive.ConnectionMemory
+import dev.kumquatknot.core.interactive.ConnectionState
 import dev.kumquatknot.core.interactive.MemberCommand
 import dev.kumquatknot.core.interactive.StatementPlan
 import kotlin.time.Duration
@@ -17,7 +17,7 @@
 ) {
     val prepared = memory.prepareFor(values, plan)
     if (prepared.commands.isEmpty()) return done(true)
-    memory = ConnectionMemory(uncertain = true)
+    memory = ConnectionState(uncertain = true)
     run(prepared.commands, timeout) { result ->
         val completed = result is BatchResult.Answered && result.replies.all { it.isCompleted }
         if (completed) memory = prepared.after
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/MemberSearch.kt
@@ -2,7 +2,7 @@
 
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.identity.MemberName
-import dev.kumquatknot.core.interactive.OutagePatience
+import dev.kumquatknot.core.interactive.FailoverWaitPolicy
 import kotlin.time.Duration
 
 /** What a [MemberSearch] ended with. */
@@ -25,7 +25,7 @@
     private val environment: NodeEnvironment,
 ) {
     private val tried = LinkedHashSet<MemberName>()
-    private val patience = OutagePatience()
+    private val patience = FailoverWaitPolicy()
 
     /** What decided where the work went so far. */
     var facts: AnswerFacts = AnswerFacts()
@@ -49,7 +49,7 @@
                     member = lane.member.name,
                     attempts = facts.attempts + 1,
                     required = needed,
-                    proofAge = group.proofs.latestAskedAt?.let { environment.now() - it },
+                    proofAge = group.proofs.latestProofRequestedAt?.let { environment.now() - it },
                 )
                 done(SearchResult.Found(lane, needed))
             }
@@ -62,7 +62,7 @@
         val until = if (lostSince == null) {
             call.waitsForPrimaryUntil
         } else {
-            patience.waitsUntil(lostSince, now, call.deadline)
+            patience.latestWaitTime(lostSince, now, call.deadline)
         }
         if (until != null && now < until) {
             later { next(call, done) }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/PooledLink.kt
@@ -1,7 +1,7 @@
 package dev.kumquatknot.proxy.interactive
 
 import dev.kumquatknot.core.history.HistoryPoint
-import dev.kumquatknot.core.interactive.ConnectionMemory
+import dev.kumquatknot.core.interactive.ConnectionState
 import dev.kumquatknot.core.interactive.DiscoveredMember
 import dev.kumquatknot.core.interactive.MemberCommand
 import dev.kumquatknot.core.interactive.MemberReply
@@ -39,7 +39,7 @@
     val startedAt: Duration = environment.now()
 
     /** What the member's end knows of session values and plans. */
-    var memory: ConnectionMemory = ConnectionMemory()
+    var memory: ConnectionState = ConnectionState()
 
     /** When it last became idle. */
     var idleSince: Duration = startedAt
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementCall.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/interactive/StatementCall.kt
@@ -5,7 +5,7 @@
 import dev.kumquatknot.core.identity.KindName
 import dev.kumquatknot.core.identity.RequestId
 import dev.kumquatknot.core.identity.TeamName
-import dev.kumquatknot.core.interactive.ConnectionMemory
+import dev.kumquatknot.core.interactive.ConnectionState
 import dev.kumquatknot.core.interactive.InteractiveRoute
 import dev.kumquatknot.core.interactive.MemberCommand
 import dev.kumquatknot.core.interactive.RejectionCode
@@ -40,7 +40,7 @@
         if (plan == null) {
             MemberCommand.Run(request, access, text, after)
         } else {
-            MemberCommand.Execute(request, access, ConnectionMemory.planName(plan), text, after)
+            MemberCommand.Execute(request, access, ConnectionState.planName(plan), text, after)
         }
 
     /** Returns how the statement asks for a slot. */
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/membership/MembershipRunner.kt
@@ -74,7 +74,7 @@
 
     /** Runs one protocol period: expires suspicions in the view, probes one node and sends it updates. */
     fun runPeriod() {
-        applyChange { it.aged(clock.elapsed()) }
+        applyChange { it.withTimeoutsApplied(clock.elapsed()) }
         val target = nextProbeTarget() ?: return
         val full = lock.withLock { periodNumber++ % FULL_EXCHANGE_PERIODS == 0L }
         if (!exchange(target, message(full, regular = true))) probeIndirectly(target)
@@ -89,11 +89,11 @@
     /** Merges the platform's list of VMs. Live ones are not gossiped, because the other nodes read the same list. */
     fun mergeListedVms(list: List<ListedVm>, memberNames: Set<MemberName>) = applyChange { membership ->
         val change = membership.listed(list, memberNames, clock.elapsed())
-        change.copy(news = change.news.filter { it.condition != VmCondition.LIVE })
+        change.copy(changedRecords = change.changedRecords.filter { it.condition != VmCondition.LIVE })
     }
 
     /** Records that a call to [vm] failed, without waiting for the next probe. */
-    fun reportUnresponsive(vm: VmName) = applyChange { it.silent(vm, clock.elapsed()) }
+    fun reportUnresponsive(vm: VmName) = applyChange { it.withFailedProbe(vm, clock.elapsed()) }
 
     /** Marks this VM as leaving and pushes the change to other nodes at once. */
     fun leave() = applyChange { it.leave() }
@@ -121,7 +121,7 @@
         val answered = helpers.any { helper ->
             peers.probeIndirectly(helper, target, INDIRECT_PROBE_TIMEOUT).fold({ false }, { it })
         }
-        if (!answered) applyChange { it.silent(target.name, clock.elapsed()) }
+        if (!answered) applyChange { it.withFailedProbe(target.name, clock.elapsed()) }
     }
 
     private fun processMessage(message: GossipMessage) {
@@ -158,13 +158,13 @@
             val previous = membership
             val next = change(previous)
             membership = next.membership
-            next.news.forEach { vmUpdates.add(it.name, it) }
+            next.changedRecords.forEach { vmUpdates.add(it.name, it) }
             previous to next
         }
         if (after.membership === before) return
         logChanges(before, after)
         onChange(after.membership)
-        if (after.news.isNotEmpty()) pushUpdates()
+        if (after.changedRecords.isNotEmpty()) pushUpdates()
     }
 
     private fun acceptPrimaries(records: List<PrimaryRecord>) {
@@ -207,7 +207,7 @@
         List(minOf(count, candidates.size)) { candidates[random.nextInt(candidates.size)] }.distinct()
     }
 
-    private fun logChanges(before: Membership, after: MembershipChange) = after.news.forEach { record ->
+    private fun logChanges(before: Membership, after: MembershipChange) = after.changedRecords.forEach { record ->
         val event = when (record.condition) {
             VmCondition.FAILED -> Event.PEER_LOST
             VmCondition.LEAVING -> Event.VM_LEAVING
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeLauncher.kt
@@ -63,7 +63,7 @@
             clock = clock,
             workers = settings.workers,
             sessionKeys = Json.encodeToString(SessionKeys.serializer(), keys),
-            onPromotion = { database, term -> recorder.failedOver(database, term, node.primarySilence(database)) },
+            onPromotion = { database, term -> recorder.recordFailover(database, term, node.primarySilence(database)) },
         )
         node = ProxyNode(identity, dependencies)
         val summaries = SummaryStore(store)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/NodeServer.kt
@@ -65,7 +65,7 @@
             address = addresses.callers.hostString,
             port = addresses.callers.port,
             workers = dependencies.workers,
-            stopTime = DRAIN_TIMEOUT,
+            stopTimeout = DRAIN_TIMEOUT,
         ),
     ).toServer(callerApi(keys).handler())
     private val operators: Http4kServer = WorkerPoolServer(
@@ -73,7 +73,7 @@
             address = addresses.operators.hostString,
             port = addresses.operators.port,
             workers = OPERATOR_WORKERS,
-            stopTime = OPERATOR_DRAIN_TIMEOUT,
+            stopTimeout = OPERATOR_DRAIN_TIMEOUT,
         ),
     ).toServer(operatorApi(pages).handler())
     private val nodes =
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/ProxyNode.kt
@@ -9,7 +9,7 @@
 import dev.kumquatknot.core.configuration.MemberConfiguration
 import dev.kumquatknot.core.databasegroup.GroupTiming
 import dev.kumquatknot.core.databasegroup.GroupView
-import dev.kumquatknot.core.databasegroup.VantageReport
+import dev.kumquatknot.core.databasegroup.MemberContactReport
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.DatabaseName
 import dev.kumquatknot.core.identity.MemberName
@@ -45,7 +45,7 @@
 import dev.kumquatknot.proxy.peer.PeerConfiguration
 import dev.kumquatknot.proxy.peer.PeerService
 import dev.kumquatknot.proxy.peer.PrimaryRecord
-import dev.kumquatknot.proxy.peer.Vantage
+import dev.kumquatknot.proxy.peer.MemberObservation
 import dev.kumquatknot.proxy.relay.MemberStatus
 import dev.kumquatknot.proxy.relay.RelayReply
 import dev.kumquatknot.proxy.relay.RelayRequest
@@ -230,7 +230,7 @@
         gatewayAssignment = next
         membership.view.records.values
             .filter { it.condition == VmCondition.FAILED }
-            .forEach { dependencies.peers.forget(it.name) }
+            .forEach { dependencies.peers.disconnect(it.name) }
         hosts.applyConfiguration(configuration, next.membersOf(identity.vm))
         dependencies.metrics.configurationInForce(configuration.number)
     }
@@ -283,14 +283,14 @@
         }
     }
 
-    private fun requestVantageReports(database: DatabaseName, member: MemberName): List<VantageReport> {
+    private fun requestVantageReports(database: DatabaseName, member: MemberName): List<MemberContactReport> {
         val configured = holder.current.database(database) ?: return emptyList()
         val gateways = configured.members.mapNotNull { gatewayAssignment.gateway(it) }
         val others = membership.view.usable.filter { it.dataCentre != identity.dataCentre }.take(REMOTE_VANTAGE_COUNT)
         val queried = (gateways + others).distinctBy { it.name }.filter { it.name != identity.vm }
         return queried.mapNotNull { peer ->
             dependencies.peers.vantage(peer, database, member, VANTAGE_TIMEOUT)
-                .fold({ null }, { VantageReport(peer.name, it.heardAgo) })
+                .fold({ null }, { MemberContactReport(peer.name, it.heardAgo) })
         }
     }
 
@@ -332,12 +332,12 @@
         override fun configuration(known: Long): PeerConfiguration =
             PeerConfiguration(holder.current.takeIf { it.number > known }, dependencies.sessionKeys)
 
-        override fun vantage(database: DatabaseName, member: MemberName): Vantage {
+        override fun vantage(database: DatabaseName, member: MemberName): MemberObservation {
             val lastAnswerAge = hosts.runner(database)?.vantage(member)?.heardAgo
-            if (lastAnswerAge != null) return Vantage(lastAnswerAge, Term(0))
+            if (lastAnswerAge != null) return MemberObservation(lastAnswerAge, Term(0))
             val configured = holder.current.database(database)?.members?.firstOrNull { it.name == member }
             val report = configured?.let { memberPort(it).report(VANTAGE_REPORT_TIMEOUT).getOrNull() }
-            return Vantage(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
+            return MemberObservation(report?.let { Duration.ZERO }, report?.acceptedTerm ?: Term(0))
         }
 
         private val Work.startsWork: Boolean
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
@@ -19,12 +19,12 @@
     fun handle(request: CallerRequest): Either<RequestFailure, CallerReply> {
         val startedAt = clock.elapsed()
         return handle.invoke(request)
-            .onRight { recorder.completed(request, it, clock.elapsed() - startedAt) }
+            .onRight { recorder.recordCompletion(request, it, clock.elapsed() - startedAt) }
             .onLeft { record(request, it) }
     }
 
     private fun record(request: CallerRequest, failed: RequestFailure) {
         val confirmedNotRun = failed.failure.reason == FailureReason.ABANDONED
-        if (confirmedNotRun) recorder.settledAsNotRun(request) else recorder.failed(request, failed.failure)
+        if (confirmedNotRun) recorder.recordResolvedAsNotRun(request) else recorder.failed(request, failed.failure)
     }
 }
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GossipMessages.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GossipMessages.kt
@@ -30,14 +30,14 @@
     full = full,
 )
 
-internal fun Vantage.toMessage(): VantageReplyMessage {
+internal fun MemberObservation.toMessage(): VantageReplyMessage {
     val builder = VantageReplyMessage.newBuilder().setAcceptedTerm(acceptedTerm.value)
-    heardAgo?.let { builder.setHeardAgoMicros(it.inWholeMicroseconds) }
+    sinceLastResponse?.let { builder.setHeardAgoMicros(it.inWholeMicroseconds) }
     return builder.build()
 }
 
-internal fun VantageReplyMessage.toVantage(): Vantage =
-    Vantage(if (hasHeardAgoMicros()) heardAgoMicros.microseconds else null, Term(acceptedTerm))
+internal fun VantageReplyMessage.toMemberObservation(): MemberObservation =
+    MemberObservation(if (hasHeardAgoMicros()) heardAgoMicros.microseconds else null, Term(acceptedTerm))
 
 private fun VmRecord.toMessage(): VmRecordMessage = VmRecordMessage.newBuilder()
     .setName(name.value)
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcPeers.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/GrpcPeers.kt
@@ -64,17 +64,17 @@
         }
     }
 
-    override fun vantage(
+    override fun memberObservation(
         peer: VmRecord,
         database: DatabaseName,
         member: MemberName,
         timeout: Duration,
-    ): Either<PeerFailure, Vantage> {
+    ): Either<PeerFailure, MemberObservation> {
         val request = VantageRequest.newBuilder().setDatabase(database.value).setMember(member.value).build()
-        return call(peer, timeout) { it.vantage(request).toVantage() }
+        return call(peer, timeout) { it.memberObservation(request).toMemberObservation() }
     }
 
-    override fun forget(peer: VmName) {
+    override fun disconnect(peer: VmName) {
         channels.remove(peer)?.channel?.shutdownNow()
     }
 
--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/PeerPort.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/peer/PeerPort.kt
@@ -45,9 +45,9 @@
 /**
  * What a node knows of a member from its own calls.
  *
- * @property heardAgo time since the member last answered this node, or null where it never did.
+ * @property sinceLastResponse time since the member last answered this node, or null where it never did.
  */
-public data class Vantage(val heardAgo: Duration?, val acceptedTerm: Term)
+public data class MemberObservation(val sinceLastResponse: Duration?, val acceptedTerm: Term)
 
 /**
  * What a node passes on in place of the platform.
@@ -83,10 +83,10 @@
         database: DatabaseName,
         member: MemberName,
         timeout: Duration,
-    ): Either<PeerFailure, Vantage>
+    ): Either<PeerFailure, MemberObservation>
 
     /** Releases the connections to [peer], which is gone. Calls that wait for it end without an answer. */
-    public fun forget(peer: VmName)
+    public fun disconnect(peer: VmName)
 }
 
 /** What a node answers to other nodes. */
@@ -104,5 +104,5 @@
     public fun configuration(known: Long): PeerConfiguration
 
     /** Tells when this node last heard from [member]. */
-    public fun vantage(database: DatabaseName, member: MemberName): Vantage
+    public fun vantage(database: DatabaseName, member: MemberName): MemberObservation
 }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/GossipCapacitySpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/capacity/GossipCapacitySpec.kt
@@ -20,7 +20,7 @@
 import dev.kumquatknot.proxy.peer.PeerFailure
 import dev.kumquatknot.proxy.peer.PeerPort
 import dev.kumquatknot.proxy.peer.PrimaryRecord
-import dev.kumquatknot.proxy.peer.Vantage
+import dev.kumquatknot.proxy.peer.MemberObservation
 import dev.kumquatknot.proxy.peer.toMessage
 import dev.kumquatknot.proxy.relay.RelayReply
 import dev.kumquatknot.proxy.relay.RelayRequest
@@ -223,14 +223,14 @@
             timeout: Duration,
         ): Either<PeerFailure, PeerConfiguration> = error("no configuration")
 
-        override fun vantage(
+        override fun memberObservation(
             peer: VmRecord,
             database: DatabaseName,
             member: MemberName,
             timeout: Duration,
-        ): Either<PeerFailure, Vantage> = error("no vantage")
+        ): Either<PeerFailure, MemberObservation> = error("no vantage")
 
-        override fun forget(peer: VmName) = Unit
+        override fun disconnect(peer: VmName) = Unit
 
         private fun <T> call(peer: VmRecord, action: (MembershipRunner) -> T): Either<PeerFailure, T> {
             calls++
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/group/GroupRunnerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/group/GroupRunnerSpec.kt
@@ -7,7 +7,7 @@
 import dev.kumquatknot.core.configuration.MemberConfiguration
 import dev.kumquatknot.core.databasegroup.Confirmation
 import dev.kumquatknot.core.databasegroup.GroupView
-import dev.kumquatknot.core.databasegroup.Standing
+import dev.kumquatknot.core.databasegroup.MajorityPrimary
 import dev.kumquatknot.core.history.HistoryPoint
 import dev.kumquatknot.core.history.LogPosition
 import dev.kumquatknot.core.history.Term
@@ -130,7 +130,7 @@
             val primary = startRunner()
             val since = clock.elapsed()
             timer.advance(300.milliseconds)
-            val standing = Standing(runner.view().term, primary)
+            val standing = MajorityPrimary(runner.view().term, primary)
             expectThat(runner.awaitStanding(since, clock.elapsed())).isEqualTo(standing)
             expectThat(runner.provenAge(runner.view().pointOf(primary))).isNotNull()
         }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/http/WorkerPoolServerSpec.kt
@@ -241,7 +241,7 @@
     inner class `a graceful stop` {
         @Test
         fun `finishes what is in flight and refuses new connections`() {
-            val port = start(WorkerPoolSettings(lingerTime = 50.milliseconds, stopTime = 20.seconds))
+            val port = start(WorkerPoolSettings(lingerTime = 50.milliseconds, stopTimeout = 20.seconds))
             val busy = connect(port).also { it.send(get("/slow")) }
             entered.await(10, TimeUnit.SECONDS)
             val stopping = CompletableFuture.runAsync { server!!.stop() }
@@ -281,7 +281,7 @@
 
         @Test
         fun `gives up on requests that do not end in time`() {
-            val port = start(WorkerPoolSettings(lingerTime = 10.milliseconds, stopTime = 100.milliseconds))
+            val port = start(WorkerPoolSettings(lingerTime = 10.milliseconds, stopTimeout = 100.milliseconds))
             connect(port).send(get("/slow"))
             entered.await(10, TimeUnit.SECONDS)
             val stopping = CompletableFuture.runAsync { server!!.stop() }
--- a/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
+++ b/kumquatknot-proxy/src/test/kotlin/dev/kumquatknot/proxy/peer/GrpcNodeServerSpec.kt
@@ -80,7 +80,7 @@
         }
         val result = CompletableFuture.supplyAsync({ peers.execute(record, request) }, executor)
         entered.await(WAIT_SECONDS, TimeUnit.SECONDS)
-        peers.forget(vm)
+        peers.disconnect(vm)
         val failure = result.get(WAIT_SECONDS, TimeUnit.SECONDS).leftOrNull()
         release.countDown()
         expectThat(failure).isA<PeerFailure.NoAnswer>()
@@ -98,7 +98,7 @@
 
         override fun configuration(known: Long) = PeerConfiguration(null, null)
 
-        override fun vantage(database: DatabaseName, member: MemberName) = Vantage(null, Term(0))
+        override fun memberObservation(database: DatabaseName, member: MemberName) = MemberObservation(null, Term(0))
     }
 
     private companion object {
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/measure/ModelGroup.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/measure/ModelGroup.kt
@@ -4,10 +4,10 @@
 import dev.kumquatknot.core.history.LogPosition
 import dev.kumquatknot.core.history.Term
 import dev.kumquatknot.core.identity.MemberName
-import dev.kumquatknot.core.routing.GroupFacts
+import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.LagEstimator
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberFacts
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
 import dev.kumquatknot.core.routing.ProvenPoint
 import org.apache.commons.rng.UniformRandomProvider
@@ -68,7 +68,7 @@
         members.indices.filter { it != primary }.maxOf { pointAt(it, time) }
 
     /** Returns what the VM of data centre [vm] knows. */
-    fun facts(vm: Int): GroupFacts = GroupFacts(
+    fun facts(vm: Int): GroupSnapshot = GroupSnapshot(
         term = TERM,
         primary = memberName(primary),
         members = members.indices.map { memberFacts(vm, it) },
@@ -77,9 +77,9 @@
 
     fun memberNumber(name: MemberName): Int = name.value.substringAfterLast('-').toInt()
 
-    private fun memberFacts(vm: Int, member: Int): MemberFacts {
+    private fun memberFacts(vm: Int, member: Int): MemberSnapshot {
         val known = seen[vm][member]
-        return MemberFacts(
+        return MemberSnapshot(
             member = memberName(member),
             availability = MemberAvailability.AVAILABLE,
             lastEntry = known.point,
--- a/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/platform/PlatformServer.kt
+++ b/kumquatknot-standin/src/main/kotlin/dev/kumquatknot/standin/platform/PlatformServer.kt
@@ -16,7 +16,7 @@
                 workers = WORKERS,
                 maximumBodyBytes = settings.maximumValueBytes + BODY_MARGIN_BYTES,
                 lingerTime = 0.seconds,
-                stopTime = 0.seconds,
+                stopTimeout = 0.seconds,
             ),
         ),
     )
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/benchmark/DecisionBenchmark.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/benchmark/DecisionBenchmark.kt
@@ -11,9 +11,9 @@
 import dev.kumquatknot.core.identity.MemberName
 import dev.kumquatknot.core.identity.RequestId
 import dev.kumquatknot.core.identity.TeamName
-import dev.kumquatknot.core.routing.GroupFacts
+import dev.kumquatknot.core.routing.GroupSnapshot
 import dev.kumquatknot.core.routing.MemberAvailability
-import dev.kumquatknot.core.routing.MemberFacts
+import dev.kumquatknot.core.routing.MemberSnapshot
 import dev.kumquatknot.core.routing.MemberLoad
 import dev.kumquatknot.core.routing.ProvenPoint
 import dev.kumquatknot.core.routing.RequestNeeds
@@ -69,14 +69,14 @@
         deadline = now + 20.milliseconds,
     )
 
-    private fun facts(now: Duration) = GroupFacts(
+    private fun facts(now: Duration) = GroupSnapshot(
         Term(1),
         MemberName("a"),
         listOf("a", "b", "c").map { member(it) },
         List(64) { ProvenPoint(point(it.toLong()), now - 13.seconds + 200.milliseconds * it) },
     )
 
-    private fun member(name: String) = MemberFacts(
+    private fun member(name: String) = MemberSnapshot(
         MemberName(name),
         MemberAvailability.AVAILABLE,
         point(20),
--- a/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/FakeNetwork.kt
+++ b/kumquatknot-standin/src/test/kotlin/dev/kumquatknot/standin/fleet/FakeNetwork.kt
@@ -12,7 +12,7 @@
 import dev.kumquatknot.proxy.peer.PeerFailure
 import dev.kumquatknot.proxy.peer.PeerPort
 import dev.kumquatknot.proxy.peer.PeerService
-import dev.kumquatknot.proxy.peer.Vantage
+import dev.kumquatknot.proxy.peer.MemberObservation
 import dev.kumquatknot.proxy.relay.RelayReply
 import dev.kumquatknot.proxy.relay.RelayRequest
 import java.util.concurrent.ConcurrentHashMap
@@ -66,14 +66,14 @@
             timeout: Duration,
         ): Either<PeerFailure, PeerConfiguration> = call(peer) { it.configuration(known) }
 
-        override fun vantage(
+        override fun memberObservation(
             peer: VmRecord,
             database: DatabaseName,
             member: MemberName,
             timeout: Duration,
-        ): Either<PeerFailure, Vantage> = call(peer) { it.vantage(database, member) }
+        ): Either<PeerFailure, MemberObservation> = call(peer) { it.memberObservation(database, member) }
 
-        override fun forget(peer: VmName) = Unit
+        override fun disconnect(peer: VmName) = Unit
 
         private fun <T> call(peer: VmRecord, action: (PeerService) -> T): Either<PeerFailure, T> {
             val service = services[peer.name] ?: return PeerFailure.NotSent(peer.name, "connection refused").left()
