--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ApplyCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ApplyCommand.kt
@@ -17,15 +17,15 @@
 
 /** Generates the configuration from a folder with answers and stores it through the platform's object API. */
 internal class ApplyCommand(private val console: Console, private val connect: ConnectPlatform) :
-    Command("apply", "Store the configuration through the platform's object API") {
+    Command("apply", "Put the configuration into the platform's object API") {
     private val folder by argument(ArgType.String, "answers", "Folder with fleet.json and teams/")
     private val platform by option(ArgType.String, "platform", "p", "Address of the platform's object API").required()
-    private val dryRun by option(ArgType.Boolean, "dry-run", description = "Only list the changes").default(false)
-    private val confirm by option(ArgType.Boolean, "confirm", description = "Apply dangerous changes").default(false)
+    private val dryRun by option(ArgType.Boolean, "dry-run", description = "Only show what would change").default(false)
+    private val confirm by option(ArgType.Boolean, "confirm", description = "Make dangerous changes").default(false)
     private val expectedNumber by option(
         ArgType.Int,
         "expect",
-        description = "Required number of the configuration in force",
+        description = "Number that the configuration in force must have",
     )
 
     override fun run(): ExitCode =
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/CheckCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/CheckCommand.kt
@@ -12,7 +12,7 @@
         console.withAnswers(folder) { answers ->
             val kinds = answers.teams.sumOf { it.kinds.size }
             val databases = answers.fleet.databases.size
-            console.out("$folder is valid: ${answers.teams.size} teams, $kinds kinds of work, $databases databases")
+            console.out("$folder is in order: ${answers.teams.size} teams, $kinds kinds of work, $databases databases")
             ExitCode.OK
         }
 }
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/DemoCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/DemoCommand.kt
@@ -10,9 +10,9 @@
 
 /** Runs the demo, with logging reduced to errors unless the environment sets a level. */
 internal class DemoCommand(private val console: Console) :
-    Command("demo", "Run the example deployments in one process") {
+    Command("demo", "Show the whole path in one process") {
     private val defaults = DemoSettings()
-    private val staySeconds by option(ArgType.Int, "stay", description = "Seconds to serve the pages at the end")
+    private val staySeconds by option(ArgType.Int, "stay", description = "Seconds for which the pages stay at the end")
         .default(defaults.pageServingTime.inWholeSeconds.toInt())
 
     override fun run(): ExitCode {
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/ExplainCommand.kt
@@ -12,7 +12,7 @@
 
 /** Prints from the logs of several VMs what happened to one request and what the VMs had observed at the time. */
 internal class ExplainCommand(private val console: Console) :
-    Command("explain", "Show from the nodes' logs what happened to one request") {
+    Command("explain", "Tell from the nodes' logs what happened to one request") {
     private val requestId by argument(ArgType.String, "request", "Id of the request")
     private val logFiles by argument(ArgType.String, "logs", "Log files, one a VM").vararg()
 
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/KeysCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/KeysCommand.kt
@@ -15,7 +15,7 @@
 
 /** Creates a new signing key for session tokens. Tokens of the previous key stay valid until the next rotation. */
 internal class RotateKeysCommand(private val console: Console, private val connect: ConnectPlatform) :
-    Command("rotate", "Create a new key for session tokens and keep the previous one") {
+    Command("rotate", "Make a new key for session tokens and keep the previous one") {
     private val platform by option(ArgType.String, "platform", "p", "Address of the platform's object API").required()
 
     override fun run(): ExitCode =
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/MeasureCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/MeasureCommand.kt
@@ -22,7 +22,7 @@
     private val scenario by option(
         ArgType.String,
         "scenario",
-        description = "Substring of the names of the scenarios to run",
+        description = "Part of the names of the scenarios to run",
     )
 
     override fun run(): ExitCode {
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
@@ -16,12 +16,12 @@
     private val console: Console,
     private val environment: (String) -> String? = System::getenv,
 ) : Command("node", "Run one node on the users' platform until the process is ended") {
-    private val exitAfterSeconds by option(ArgType.Int, "exit-after", description = "seconds until the end, for trials")
+    private val exitAfterSeconds by option(ArgType.Int, "exit-after", description = "end after so many seconds, for trials")
 
     private val preload by option(
         ArgType.Boolean,
         "preload",
-        description = "load all classes, to create the class-data archive",
+        description = "load all classes, for the class-data archive",
     )
         .default(false)
 
