--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/node/RecordingHandler.kt
@@ -24,13 +24,7 @@
     }
 
     private fun record(request: CallerRequest, failed: RequestFailure) {
-        val confirmedNotRun = failed.failure.reason == FailureReason.ABANDONED
-        if (confirmedNotRun) {
-            recorder.recordResolvedAsNotRun(
-                request,
-            )
-        } else {
-            recorder.recordFailure(request, failed.failure)
-        }
+        val abandoned = failed.failure.reason == FailureReason.ABANDONED
+        if (abandoned) recorder.recordResolvedAsNotRun(request) else recorder.recordFailure(request, failed.failure)
     }
 }
