--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/command/NodeCommand.kt
@@ -16,7 +16,11 @@
     private val console: Console,
     private val environment: (String) -> String? = System::getenv,
 ) : Command("node", "Run one node on the users' platform until the process is ended") {
-    private val exitAfterSeconds by option(ArgType.Int, "exit-after", description = "end after so many seconds, for trials")
+    private val exitAfterSeconds by option(
+        ArgType.Int,
+        "exit-after",
+        description = "end after so many seconds, for trials",
+    )
 
     private val preload by option(
         ArgType.Boolean,
--- a/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
+++ b/kumquatknot-app/src/main/kotlin/dev/kumquatknot/app/demo/Demo.kt
@@ -76,7 +76,10 @@
         console.out("${deployment.name}: $stoppedMember is back")
         tasks.forEach { it.get() }
         pool.shutdown()
-        console.out("${allCallers.sumOf { it.requests }} requests of ${allCallers.size} callers; reading back what was acknowledged")
+        console.out(
+            "${allCallers.sumOf { it.requests }} requests of ${allCallers.size} callers; " +
+                "reading back what was acknowledged",
+        )
     }
 
     /** Stores the results of the checks in the deployment's summaries, under the VM name [checkerVm]. */
