--- a/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
+++ b/kumquatknot-proxy/src/main/kotlin/dev/kumquatknot/proxy/group/GroupRunner.kt
@@ -90,7 +90,7 @@
  * Observes one database group on behalf of a VM and replaces a lost primary. It performs the effects that a
  * [GroupCoordinator] decides on, and provides the observed state to the request path.
  *
- * Thread-safe. Lock order: the runner's lock, then the locks of the two ledgers. No lock is held during calls to
+ * Thread-safe. Lock order: the runner's lock, then the locks of the two trackers. No lock is held during calls to
  * members, listeners and ports.
  */
 public class GroupRunner(
